--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -32,7 +32,7 @@
 
 void Gatekeeper::take(const Settings& settings, const Bounds& bounds) {
     settings_ = settings;
-    control_.take(settings);
+    control_.apply(settings);
     bounds_ = bounds;
 }
 
@@ -68,7 +68,7 @@
 }
 
 std::size_t Gatekeeper::entries() const {
-    return calls_.size() + exchanges_.size() + due_.size() + owed_.size() + control_.entries();
+    return calls_.size() + exchanges_.size() + due_.size() + owed_.size() + control_.table_entry_count();
 }
 
 void Gatekeeper::run_due() {
@@ -81,7 +81,7 @@
 }
 
 void Gatekeeper::due(const ModuleTimer& timer) {
-    tell(TimerDue{timer.token});
+    tell(TimerExpired{timer.token});
 }
 
 void Gatekeeper::due(const AttemptTimeOut& timer) {
@@ -260,12 +260,12 @@
     event.destination = offer.destination;
     event.width = offer.width;
     event.service_class = static_cast<int>(named - settings_.classes.begin());
-    (offer.transit ? event.previous : event.advised) = offer.via;
-    event.patience = patience;
+    (offer.transit ? event.previous_exchange : event.advised_exchange) = offer.via;
+    event.time_left = patience;
     event.transit = offer.transit;
-    event.was_cut = offer.again;
+    event.is_reconnect = offer.again;
     event.redial = offer.redial;
-    event.number = call.number;
+    event.called_number = call.number;
     tell(std::move(event));
 }
 
@@ -305,7 +305,7 @@
                           .exchange = call.at,
                           .outcome = Outcome::cancelled,
                           .final = true,
-                          .lag = time_() - call.sent});
+                          .response_time = time_() - call.sent});
 }
 
 void Gatekeeper::drain() {
@@ -405,7 +405,7 @@
         count(call.service_class, &Replies::served);
         call.link->answer(id, std::make_shared<const std::string>(description));
     }
-    tell(CallStands{id, call.attempts - 1, exchange, time_() - call.sent});
+    tell(CallAnswered{id, call.attempts - 1, exchange, time_() - call.sent});
     if (successor_) pass_on(at);
 }
 
@@ -430,7 +430,7 @@
     const Instant now = time_();
     if (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled)
         call.not_before = now + settings_.release_wait;
-    counters_.turned_back += outcome == Outcome::turned_back;
+    counters_.turned_back += outcome == Outcome::rejected;
     counters_.errors += outcome == Outcome::failed;
     counters_.reset += outcome == Outcome::reset;
     counters_.unreachable += outcome == Outcome::unreachable;
@@ -441,7 +441,7 @@
                       .outcome = outcome,
                       .cause = cause,
                       .final = false,
-                      .lag = now - call.sent,
+                      .response_time = now - call.sent,
                       .load = load});
 }
 
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -37,7 +37,7 @@
     void run_due();
 
     // New settings in service: calls, timers and what was learned go on.
-    bool can_take(const Settings& settings) const { return control_.can_take(settings); }
+    bool can_take(const Settings& settings) const { return control_.can_apply(settings); }
     void take(const Settings& settings, const Bounds& bounds);
 
     // From the front's tests on nothing new is wanted. What comes all the same is answered by `end`.
@@ -73,7 +73,8 @@
     };
     const std::vector<Replies>& replies() const { return replies_; }
     std::size_t listed() const { return exchanges_.size(); }
-    std::size_t avoided() const { return control_.avoided(); }  // of those listed, by the module
+    // of those listed, by the module
+    std::size_t avoided() const { return control_.avoided_exchange_count(); }
     // In all tables, the module's too: each is bounded by the calls and exchanges in hand.
     std::size_t entries() const;
     // Every call still without its final answer gets it now.
@@ -117,7 +118,7 @@
         std::string origin;          // of that connection
         Phase phase = Phase::waiting;
         bool transit = false, again = false, redial = false;
-        int destination = kNowhere, width = 1;
+        int destination = kNoExchange, width = 1;
         std::string service_class, number;
         Description description;
         int attempts = 0;
@@ -132,7 +133,7 @@
     struct Exchange {
         ExchangeState state = ExchangeState::ready;
         Instant started{};
-        int number = kNowhere;
+        int number = kNoExchange;
         bool group_known = false;
     };
 
@@ -155,10 +156,10 @@
     // Nothing is to be done for these: probes and messages between gatekeepers have no message here, the feed
     // tells the list unasked, and the one connection to each carrier switch is kept.
     void act(const Probe&) {}
-    void act(const TellPeers&) {}
-    void act(const FollowList&) {}
-    void act(const AskList&) {}
-    void act(const CloseIdle&) {}
+    void act(const SendPeerMessage&) {}
+    void act(const SubscribeList&) {}
+    void act(const RequestList&) {}
+    void act(const CloseIdleConnection&) {}
 
     bool may_set_up(const Call& call, const ExchangeId& at) const;
     void end_attempt(Calls::iterator at, Outcome outcome, Cause cause, const LoadReport& load);
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -21,9 +21,9 @@
     std::string_view number{};
     std::string_view description{};
     Duration patience{};
-    int destination = kNowhere;
+    int destination = kNoExchange;
     int width = 0;
-    int via = kNowhere;
+    int via = kNoExchange;
     bool transit = false, again = false, redial = false;
 };
 
@@ -67,7 +67,7 @@
     Description description{};
     Duration wait{};
     // For who signals on to a further hub; a carrier switch finds its way by the number.
-    int destination = kNowhere;
+    int destination = kNoExchange;
     int width = 1;
     bool again = false, redial = false;
 };
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -31,7 +31,7 @@
                       .exchange = call.at,
                       .outcome = outcome,
                       .final = true,
-                      .lag = time_() - call.sent,
+                      .response_time = time_() - call.sent,
                       .load = load});
 }
 
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -202,10 +202,10 @@
 
 struct Exchange {  // one machine
     ExchangeId id;
-    int number = kNowhere;
+    int number = kNoExchange;
     ExchangeState state = ExchangeState::ready;
     Instant started{};
-    bool lines_only = false;
+    bool never_tandem = false;
 
     Window window{0, kWindowStart, kWindowMost};
     double lag = 0, base = -1;  // seconds: running mean, and the least seen
@@ -222,9 +222,9 @@
     bool known = false;
     int free = 0, size = 0;
     Admission admission;
-    std::vector<int> own;       // calls of this call control on it, by class
-    double base = -1;           // seconds: the least lag of its machines, so that a new one is judged by it
-    int stood_over = kNowhere;  // the tandem over which a call last stood there
+    std::vector<int> own;  // calls of this call control on it, by class
+    double base = -1;      // seconds: the least lag of its machines, so that a new one is judged by it
+    int stood_over = kNoExchange;    // the tandem over which a call last stood there
     Exchange* in_service = nullptr;  // the machine at the far end, if one is ready
     bool has(int width) const { return known && free >= width; }
     // A call needs its width, and a circuit free above those kept from its sort; it may then take of these.
@@ -241,7 +241,7 @@
 struct Call {
     CallId id;
     Phase phase = Phase::waiting;
-    int service_class = 0, destination = kNowhere, width = 1, advised = kNowhere;
+    int service_class = 0, destination = kNoExchange, width = 1, advised = kNoExchange;
     bool transit = false, may_have_run = false, tandem_tried = false, held_for_number = false;
     bool faulted = false;  // an attempt was answered with a fault
     bool look = false;     // at it in any case: it has just begun to wait
@@ -250,8 +250,8 @@
     Instant first_offered{}, aim_ends{}, answer_by{}, not_before{};
     std::string number;
     int attempts = 0;
-    ExchangeId at;         // where the attempt that is out, or the standing call, went
-    int group = kNowhere;  // the own group that it holds circuits on
+    ExchangeId at;            // where the attempt that is out, or the standing call, went
+    int group = kNoExchange;  // the own group that it holds circuits on
     Instant sent{};
     std::uint64_t order = 0;
 };
@@ -264,7 +264,7 @@
 
     // The tables and the calls in hand name classes by their place.
     bool can_take(const Settings& fresh) const {
-        return fresh.own_exchange == s_.own_exchange && fresh.pools == s_.pools &&
+        return fresh.own_exchange == s_.own_exchange && fresh.uses_pools == s_.uses_pools &&
                std::equal(fresh.classes.begin(), fresh.classes.end(), s_.classes.begin(), s_.classes.end(),
                           [](const auto& a, const auto& b) { return a.name == b.name; });
     }
@@ -298,7 +298,7 @@
     void handle(Instant now, const Event& event, std::vector<Action>& actions) {
         now_ = now;
         actions_ = &actions;
-        changed_ = kNowhere;
+        changed_ = kNoExchange;
         pass_time();
         find_overdue();
         std::visit([this](const auto& e) { on(e); }, event);
@@ -342,7 +342,7 @@
     int scarce(const Group& g) const { return static_cast<int>(std::lround(kScarceShare * back_ * g.size)); }
 
     bool skilled(const Call& call, int pool) const {
-        if (!s_.pools) return true;
+        if (!s_.uses_pools) return true;
         const std::vector<int>& pools = s_.classes[static_cast<std::size_t>(call.service_class)].pools;
         return pools.empty() || std::find(pools.begin(), pools.end(), pool) != pools.end();
     }
@@ -360,12 +360,12 @@
             return false;
         if (!call.transit && !own_window_.open()) return false;
         Exchange* direct = in_service(call.destination);
-        if (!direct && !s_.pools) return false;
+        if (!direct && !s_.uses_pools) return false;
         Group& own = group(call.destination);
         // Guards against a processor that answers most set-ups with a fault: a call spent all its attempts
         // there within a quarter of a second. After the first fault the tandem is tried, if it can be. May
         // harm where the call itself is at fault: it crosses three processors.
-        const bool round = call.faulted && !call.transit && !call.tandem_tried && !s_.pools && direct &&
+        const bool round = call.faulted && !call.transit && !call.tandem_tried && !s_.uses_pools && direct &&
                            !late(call) && may_send(*direct) && !pressed(*direct) && freest_tandem(call);
         const int kept = late(call) ? late_reserve(own) : call.transit ? reserve(own) : 0;
         if (!round && direct && skilled(call, call.destination) && !behind &&
@@ -375,11 +375,11 @@
             return true;
         }
         if (call.transit || call.tandem_tried || late(call)) return false;
-        if (direct && !s_.pools && (!may_send(*direct) || pressed(*direct))) return false;
+        if (direct && !s_.uses_pools && (!may_send(*direct) || pressed(*direct))) return false;
         Exchange* tandem = freest_tandem(call);
         if (!tandem) return false;
         call.tandem_tried = true;
-        if (!s_.pools) note_cold_send(*direct);
+        if (!s_.uses_pools) note_cold_send(*direct);
         send(call, *tandem);
         return true;
     }
@@ -401,7 +401,7 @@
             if (room <= most) continue;
             const auto back = turned_back_.find({number, call.destination});
             if (back != turned_back_.end() && now_ < back->second.until) continue;
-            if (!g.in_service || g.in_service->lines_only || !may_send(*g.in_service) ||
+            if (!g.in_service || g.in_service->never_tandem || !may_send(*g.in_service) ||
                 pressed(*g.in_service))
                 continue;
             best = g.in_service;
@@ -414,7 +414,7 @@
     // against slow processors that spend their time on repeats for calls that are late already. Should hold
     // in a stampede, and where far ends hang. May harm where late calls are worth much: they get none of it.
     Instant give_up_at(const Call& call) const {
-        if (s_.set_up_repeat <= Duration::zero() || late(call)) return call.answer_by;
+        if (s_.set_up_repeat_interval <= Duration::zero() || late(call)) return call.answer_by;
         return std::min(call.answer_by, call.aim_ends);
     }
 
@@ -516,7 +516,7 @@
         return std::clamp(1.0 / usual_rate(), 1.0, kSparsest);
     }
 
-    void unanswered(Exchange& x, Instant sent, Duration told_wait = {}) {
+    void unanswered(Exchange& x, Instant sent, Duration requested_wait = {}) {
         const bool news = !x.silent.active() || sent >= x.window.last_cut;  // one gap for each batch, too
         if (news) {
             const double many = sparseness();
@@ -524,18 +524,20 @@
                         from_seconds(many * in_seconds(kLongestTrialGap)));
         }
         x.window.cut(now_, sent);
-        x.silent.until = std::max(x.silent.until, now_ + told_wait);
+        x.silent.until = std::max(x.silent.until, now_ + requested_wait);
     }
 
     // ---- Cold budget ----------------------------------------------------------------------------------
 
     bool cold(const Exchange& x) const {
-        return s_.fall_span > Duration::zero() && x.started > Instant{} && now_ - x.started < s_.warm_within;
+        return s_.overload_span > Duration::zero() && x.started > Instant{} &&
+               now_ - x.started < s_.warm_up_time;
     }
 
     // What a processor is sent in its usual way from here: a mean over the warm ones, for a second.
     double usual_rate() const {
-        return warm_rates_.first > 0.0 ? warm_rates_.first / warm_rates_.second : kUnknownRate / s_.controls;
+        return warm_rates_.first > 0.0 ? warm_rates_.first / warm_rates_.second
+                                       : kUnknownRate / s_.call_control_count;
     }
 
     // Guards against pushing over a cold processor by all call controls together: each accrues its share of
@@ -547,12 +549,12 @@
     double cold_credit_missing(Exchange& x) {
         if (!cold(x)) return 0.0;
         const double passed = in_seconds(now_ - x.credited);
-        const double age = in_seconds(now_ - x.started) / in_seconds(s_.warm_within);
-        const double present = s_.cold_from + (1.0 - s_.cold_from) * std::clamp(age, 0.0, 1.0);
-        const double rate = kColdMargin * s_.fall_multiple * present * kBothEnds * usual_rate();
+        const double age = in_seconds(now_ - x.started) / in_seconds(s_.warm_up_time);
+        const double present = s_.cold_start_share + (1.0 - s_.cold_start_share) * std::clamp(age, 0.0, 1.0);
+        const double rate = kColdMargin * s_.overload_multiple * present * kBothEnds * usual_rate();
         x.credit += rate * passed;
         x.credited = now_;
-        const double most = 1.0 + rate * kCreditSpans * in_seconds(s_.fall_span);
+        const double most = 1.0 + rate * kCreditSpans * in_seconds(s_.overload_span);
         if (x.credit > most) x.credit -= std::ceil(x.credit - most);
         return x.credit >= 1.0 ? 0.0 : std::max(1e-6, (1.0 - x.credit) / std::max(rate, 1e-3));
     }
@@ -595,7 +597,7 @@
         Instant chance = Instant::max();
         if (Exchange* direct = in_service(call.destination); direct && skilled(call, call.destination))
             chance = opens(*direct);
-        if (s_.pools && chance > now_)
+        if (s_.uses_pools && chance > now_)
             for (auto& [number, g] : groups_)
                 if (g.in_service && skilled(call, number)) chance = std::min(chance, opens(*g.in_service));
         const auto busy = numbers_.find(call.number);
@@ -639,7 +641,7 @@
         waiting_.erase(key(call));
         remember_refused(call);
         if (call.may_have_run &&
-            s_.classes[static_cast<std::size_t>(call.service_class)].repeat != Repeat::safe) {
+            s_.classes[static_cast<std::size_t>(call.service_class)].repeat != RepeatPolicy::safe) {
             actions_->push_back(Fail{call.id});
         } else {
             const bool advise = s_.may_advise_pause && !call.transit && for_want_of_route;
@@ -649,9 +651,9 @@
     }
 
     void free_circuits(Call& call) {
-        if (call.group == kNowhere) return;
+        if (call.group == kNoExchange) return;
         --group(call.group).own[static_cast<std::size_t>(call.service_class)];
-        call.group = kNowhere;
+        call.group = kNoExchange;
     }
 
     // Waiting calls, the dearest per circuit first. A call that waits for its direct group's circuits keeps
@@ -767,12 +769,13 @@
         call.service_class = e.service_class;
         call.destination = e.destination;
         call.width = e.width;
-        call.advised = e.advised;
+        call.advised = e.advised_exchange;
         call.transit = e.transit;
-        call.number = e.number;
+        call.number = e.called_number;
         call.order = ++order_;
         call.value = c.worth;
-        call.answer_by = now_ + std::max(Duration::zero(), e.patience - kAnswerMargin - s_.step);
+        call.answer_by =
+            now_ + std::max(Duration::zero(), e.time_left - kAnswerMargin - s_.min_event_interval);
         call.first_offered = now_;
         if (!call.transit) recognise_redial(call, c.deadline);
         call.aim_ends = call.first_offered + c.aim;
@@ -796,7 +799,7 @@
         wait(call);
     }
 
-    void on(const CallStands& e) {
+    void on(const CallAnswered& e) {
         const auto at = calls_.find(e.call);
         if (at == calls_.end() || at->second.phase != Phase::out) return;
         Call& call = at->second;
@@ -809,7 +812,7 @@
         group(call.destination).stood_over = call.group;
         if (const auto x = exchanges_.find(call.at); x != exchanges_.end()) {
             changed_ = x->second.number;
-            answered(x->second, e.lag, call.sent);
+            answered(x->second, e.response_time, call.sent);
         }
     }
 
@@ -826,7 +829,7 @@
         }
         Call& call = at->second;
         if (call.phase == Phase::waiting) return;
-        const int tandem = call.group == call.destination ? kNowhere : call.group;
+        const int tandem = call.group == call.destination ? kNoExchange : call.group;
         if (call.phase == Phase::out) settle(call, e);
         free_circuits(call);
         if (e.final) {
@@ -837,8 +840,9 @@
             e.outcome == Outcome::timed_out || e.outcome == Outcome::reset || e.outcome == Outcome::cancelled;
         if (ran) call.not_before = now_ + s_.release_wait;
         call.may_have_run = call.may_have_run || ran || e.outcome == Outcome::failed;
-        const bool again = !call.may_have_run ||
-                           s_.classes[static_cast<std::size_t>(call.service_class)].repeat == Repeat::safe;
+        const bool again =
+            !call.may_have_run ||
+            s_.classes[static_cast<std::size_t>(call.service_class)].repeat == RepeatPolicy::safe;
         if (call.transit || !again || call.attempts >= s_.max_attempts || call.not_before >= call.answer_by)
             return refuse(call, false);
         call.faulted = call.faulted || (e.outcome == Outcome::failed && e.cause == Cause::none);
@@ -849,7 +853,7 @@
         // Guards against a tandem whose second leg is full, which cannot be seen from here: the freest first
         // leg would be asked again and again. Holds too where a tandem turns calls back for any other reason.
         // May harm when the second leg empties at once: the gap is short for that.
-        if (e.outcome == Outcome::turned_back && e.cause == Cause::by_tandem && tandem != kNowhere) {
+        if (e.outcome == Outcome::rejected && e.cause == Cause::rejected_by_tandem && tandem != kNoExchange) {
             back_ += kBackWeight * (1.0 - back_);
             turned_back_[{tandem, call.destination}].no(now_, kTurnedBackGap, kLongestTurnedBackGap);
         }
@@ -870,12 +874,12 @@
             case Outcome::unreachable:
                 if (!call.overdue) unanswered(x, call.sent);
                 return;
-            case Outcome::turned_back:
-                if (e.cause == Cause::processor_full) return unanswered(x, call.sent, e.told_wait);
-                return answered(x, e.lag, call.sent);
+            case Outcome::rejected:
+                if (e.cause == Cause::processor_full) return unanswered(x, call.sent, e.requested_wait);
+                return answered(x, e.response_time, call.sent);
             case Outcome::ended:
             case Outcome::failed:
-                return answered(x, e.lag, call.sent);
+                return answered(x, e.response_time, call.sent);
             default:
                 return;
         }
@@ -909,7 +913,7 @@
     void on(const ExchangeReport& e) { see_load(e.exchange, e.load); }
 
     void on(const ExchangeList& e) {
-        if (e.kind == ListKind::complete || e.kind == ListKind::remembered)
+        if (e.kind == ListKind::complete || e.kind == ListKind::cached)
             for (auto& [id, x] : exchanges_) x.state = ExchangeState::gone;  // unless it is in the list
         for (const ExchangeEntry& entry : e.entries) {
             if (entry.number < 0) continue;
@@ -929,20 +933,20 @@
             x.number = entry.number;
             x.state = entry.state;
             x.started = entry.started;
-            x.lines_only = entry.lines_only;
+            x.never_tandem = entry.never_tandem;
         }
         std::erase_if(exchanges_, [](const auto& at) {
             return at.second.state == ExchangeState::gone && at.second.window.out <= 0;
         });
         find_in_service();
-        if (s_.list_on_request && (e.kind == ListKind::remembered || e.kind == ListKind::failed))
+        if (s_.list_on_request && (e.kind == ListKind::cached || e.kind == ListKind::failed))
             actions_->push_back(SetTimer{e.kind == ListKind::failed ? kTrialGap : Duration(1), 2});
     }
 
     void on(const PeerMessage&) {}
 
-    void on(const TimerDue& e) {
-        if (e.token == 2) actions_->push_back(FollowList{true});
+    void on(const TimerExpired& e) {
+        if (e.token == 2) actions_->push_back(SubscribeList{true});
     }
 
     Settings s_;
@@ -961,7 +965,7 @@
     std::map<std::string, Instant> refused_;  // by number: when a call refused since was first offered
     std::map<std::pair<int, int>, BackOff> turned_back_;  // by tandem and destination
     std::uint64_t order_ = 0;
-    int changed_ = kNowhere;                            // the exchange that the event in hand told of
+    int changed_ = kNoExchange;                         // the exchange that the event in hand told of
     Instant next_look_{}, first_end_ = Instant::max();  // at all waiting calls; of the first of their tries
     Instant timer_due_{};
     // All set-ups out from here. Guards against an own processor that is slow or cold: every set-up waits in
@@ -982,16 +986,16 @@
 CallControl::CallControl(CallControl&&) noexcept = default;
 CallControl& CallControl::operator=(CallControl&&) noexcept = default;
 
-bool CallControl::can_take(const Settings& settings) const {
+bool CallControl::can_apply(const Settings& settings) const {
     return impl_->can_take(settings);
 }
-std::size_t CallControl::avoided() const {
+std::size_t CallControl::avoided_exchange_count() const {
     return impl_->avoided();
 }
-std::size_t CallControl::entries() const {
+std::size_t CallControl::table_entry_count() const {
     return impl_->entries();
 }
-void CallControl::take(Settings settings) {
+void CallControl::apply(Settings settings) {
     impl_->take(std::move(settings));
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -220,7 +220,7 @@
             lines.entry.exchange = text_of(child, "exchange");
             lines.entry.number = number_of<int>(child, "number");
             lines.entry.zone = text_of(child, "zone");
-            lines.entry.lines_only = true;
+            lines.entry.never_tandem = true;
             lines.address = text_of(child, "address");
             return;
         }
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -18,7 +18,7 @@
 
 struct TrunkSettings {
     trunk::PointCode point = 1;
-    int number = kNowhere;
+    int number = kNoExchange;
     std::string listen;  // address:port; empty: nobody dials this hub
     std::string ledger;  // a folder; empty: none
     std::vector<ListedExchange> lines;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -14,13 +14,13 @@
     const json::Value& prices = part_or_empty(facts, "prices", false);
     const json::Value& report = part_or_empty(facts, "report", false);
 
-    s.own_exchange = take(kind, "this_node", kNowhere);
+    s.own_exchange = take(kind, "this_node", kNoExchange);
     s.own_index = need<int>(facts, "self_index");
-    s.controls = need<int>(facts, "fleet_size");
+    s.call_control_count = need<int>(facts, "fleet_size");
     s.own_zone = take<std::string>(facts, "zone", "");
-    s.pools = take<std::string>(kind, "layout", "mesh") == "pools";
+    s.uses_pools = take<std::string>(kind, "layout", "mesh") == "pools";
     s.over_share_worth = take(facts, "over_share_worth", 1.0);
-    s.step = time_or(facts, "step_s");
+    s.min_event_interval = time_or(facts, "step_s");
 
     const json::Value& holds = part_or_empty(kind, "class_hold_s", true);
     const json::Value& widths = part_or_empty(kind, "class_width", true);
@@ -38,9 +38,9 @@
         if (i < widths.Size()) c.width = value<int>(widths[i], "class_width");
         if (i < holds.Size()) c.holding_time = micros(value<double>(holds[i], "class_hold_s"));
         const std::string repeat = take<std::string>(grade, "repeat", "retryable");
-        c.repeat = repeat == "retryable" ? Repeat::safe
-                   : repeat == "dedup"   ? Repeat::discarded_by_group
-                                         : Repeat::never;
+        c.repeat = repeat == "retryable" ? RepeatPolicy::safe
+                   : repeat == "dedup"   ? RepeatPolicy::discarded_by_group
+                                         : RepeatPolicy::never;
         const std::string scope = take<std::string>(grade, "group", "all");
         c.repeat_scope = scope == "zone"   ? RepeatScope::zone
                          : scope == "cell" ? RepeatScope::exchange
@@ -62,28 +62,28 @@
     s.max_open_calls = take(limits, "open_cap", 0);
     s.may_cancel = take(limits, "cancel", false);
     s.may_probe = take(limits, "probes", false);
-    s.may_message = take(limits, "peers", false);
+    s.may_message_peers = take(limits, "peers", false);
     s.may_advise_pause = take(limits, "retry_after", false);
     s.may_duplicate = take(limits, "may_duplicate", false);
     s.max_pause = time_or(limits, "max_retry_after_s");
 
     s.list_on_request = take<std::string>(facts, "discovery", "pushed") == "on_request";
-    s.ask_list_within = time_or(rules, "must_ask_in_s");
+    s.list_request_time_limit = time_or(rules, "must_ask_in_s");
     s.callers_mark_redials = take(part_or_empty(facts, "client_habits", false), "marks_retry", false);
-    s.gives_advice = take(kind, "hints_route", false);
-    s.tells_wait = take(kind, "retry_hint", false);
-    s.set_up_repeat = time_or(kind, "resend_s");
+    s.centre_advises_tandem = take(kind, "hints_route", false);
+    s.reports_wait = take(kind, "retry_hint", false);
+    s.set_up_repeat_interval = time_or(kind, "resend_s");
     const std::string source = take<std::string>(report, "source", "off");
     s.reports_load = source == "inline";
-    s.reports_on_probe = source != "off";
+    s.reports_load_on_probe = source != "off";
 
     s.answer_grace = time_or(rules, "grace_to_answer_s");
     s.drain_grace = time_or(rules, "drain_grace_s");
     s.release_wait = time_or(kind, "release_s");
-    s.cold_from = take(rules, "cold_from", 1.0);
-    s.warm_within = time_or(rules, "ramp_time_s");
-    s.fall_multiple = take(rules, "fall_multiple", 0.0);
-    s.fall_span = time_or(rules, "fall_s");
+    s.cold_start_share = take(rules, "cold_from", 1.0);
+    s.warm_up_time = time_or(rules, "ramp_time_s");
+    s.overload_multiple = take(rules, "fall_multiple", 0.0);
+    s.overload_span = time_or(rules, "fall_s");
     s.prices = {take(prices, "late_fail", 0.0), take(prices, "waste", 0.0),
                 take(prices, "probe", 0.0),     take(prices, "peer", 0.0),
                 take(prices, "discovery", 0.0), take(prices, "cross_zone", 0.0)};
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -44,7 +44,7 @@
 
 Settings module_settings(const HubSettings& hub) {
     Settings s;
-    s.controls = hub.hubs;
+    s.call_control_count = hub.hubs;
     s.max_attempts = 5;
     s.release_wait = milliseconds(300);
     s.drain_grace = milliseconds(500);
@@ -218,11 +218,11 @@
         const auto at = truth_.calls.find(freed.call);
         if (at != truth_.calls.end() && at->second.live()) ++truth_.live_cut_by_audit;
     });
-    ListEvent list{.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}};
+    ListEvent list{.number = 1, .has_list = true, .kind = ListKind::cached, .version = 1, .entries = {}};
     ListedExchange& lines = list.entries.emplace_back();
     lines.entry.exchange = kLines;
     lines.entry.number = settings_.number;
-    lines.entry.lines_only = true;
+    lines.entry.never_tandem = true;
     for (const trunk::GroupSettings& group : settings_.groups)
         p.routes.add(p.front.add(group).settings().exchange, p.front);
     p.front.begin(life_, with_ledger ? &ledger_ : nullptr);
@@ -341,8 +341,7 @@
             if (fate > 0.95)
                 return process_->gatekeeper.ended(kLines, call, Outcome::failed, Cause::none, {});
             if (fate > 0.90)
-                return process_->gatekeeper.ended(kLines, call, Outcome::turned_back, Cause::processor_full,
-                                                  {});
+                return process_->gatekeeper.ended(kLines, call, Outcome::rejected, Cause::processor_full, {});
             truth_.calls[call].line_stands = true;
             process_->gatekeeper.stands(kLines, call, "answer");
         });
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -102,11 +102,11 @@
         bool first = true;
         for (ListEvent event : config.events) {
             if (!event.has_list) continue;
-            if (std::exchange(first, false)) event.kind = ListKind::remembered;
+            if (std::exchange(first, false)) event.kind = ListKind::cached;
             take(event);
         }
         if (trunk_ && first)
-            take({.number = 0, .has_list = true, .kind = ListKind::remembered, .version = 0, .entries = {}});
+            take({.number = 0, .has_list = true, .kind = ListKind::cached, .version = 0, .entries = {}});
         net::spawn(io, watch_signals());
         feed_.start();
         if (handover_.find_predecessor()) {
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -89,9 +89,9 @@
     offer.patience = std::chrono::milliseconds(std::clamp<std::int64_t>(patience, 0, kLongestPatienceMs));
     for_each_figure(message.text(Code::figures), [&offer](std::string_view name, std::string_view value) {
         const auto whole = to_whole(value);
-        if (name == "dest") offer.destination = small(whole, kNowhere);
+        if (name == "dest") offer.destination = small(whole, kNoExchange);
         if (name == "width") offer.width = small(whole, 0);
-        if (name == "via") offer.via = small(whole, kNowhere);
+        if (name == "via") offer.via = small(whole, kNoExchange);
         if (name == "transit") offer.transit = whole == 1;
         if (name == "again") offer.again = whole == 1;
     });
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -169,8 +169,8 @@
         if (name == "queue" || name == "pending") load.waiting_messages = *number;
         if (name == "util" || name == "cpu_share") load.utilisation = *number;
         if (name == "latency_ms" || name == "svc_ms") load.wait_ms = *number;
-        if (name == "qps" || name == "can_take") load.can_take_per_second = *number;
-        if (name == "eps" || name == "hold_back") load.hold_back_share = *number;
+        if (name == "qps" || name == "can_take") load.max_set_ups_per_second = *number;
+        if (name == "eps" || name == "hold_back") load.throttle_share = *number;
     });
     return load;
 }
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -24,7 +24,7 @@
     ExchangeEntry& e = listed.entry;
     e.exchange = json::need<std::string>(server, "id");
     e.state = read_state(json::need<std::string>(server, "state"));
-    e.number = json::take(server, "cell", kNowhere);
+    e.number = json::take(server, "cell", kNoExchange);
     e.zone = json::take<std::string>(server, "zone", "");
     e.kind = json::take<std::string>(server, "kind", "");
     e.size = json::take(server, "weight", 1.0);
--- a/src/protocol/switches.cpp
+++ b/src/protocol/switches.cpp
@@ -6,7 +6,7 @@
 Outcome outcome_of(std::uint8_t cause) {
     switch (cause) {
         case cause::kNoCircuit:
-            return Outcome::turned_back;
+            return Outcome::rejected;
         case cause::kTimer:
             return Outcome::not_sent;
         case cause::kReset:
@@ -20,8 +20,8 @@
 
 Cause cause_of(std::string_view note) {
     if (note == "no_circuit") return Cause::no_circuit;
-    if (note == "turned_back") return Cause::by_tandem;
-    if (note == "far_overload") return Cause::by_tandem_far_processor;
+    if (note == "turned_back") return Cause::rejected_by_tandem;
+    if (note == "far_overload") return Cause::far_processor_full;
     if (note == "overload") return Cause::processor_full;
     if (note == "lines_busy") return Cause::number_busy;
     return Cause::none;
--- a/src/trunk/front.cpp
+++ b/src/trunk/front.cpp
@@ -15,9 +15,9 @@
         case Reason::glare:
         case Reason::not_idle:
         case Reason::unusable:
-            return {Outcome::turned_back, Cause::no_circuit};  // it never ran
+            return {Outcome::rejected, Cause::no_circuit};  // it never ran
         case Reason::refused:
-            return {Outcome::turned_back, direct ? Cause::processor_full : Cause::by_tandem};
+            return {Outcome::rejected, direct ? Cause::processor_full : Cause::rejected_by_tandem};
         case Reason::normal:
         case Reason::failed:
             return {Outcome::failed, Cause::none};
@@ -168,8 +168,8 @@
     Effects effects;
     const CallRef ref = group_.set_up(front_.time_(), std::move(data), forward.width, effects);
     if (ref == kNoCall)
-        return front_.switches_.ended(settings_.exchange, forward.call, Outcome::turned_back,
-                                      Cause::no_circuit, {});
+        return front_.switches_.ended(settings_.exchange, forward.call, Outcome::rejected, Cause::no_circuit,
+                                      {});
     outgoing_[forward.call] = ref;
     carry_out(std::move(effects));
 }
@@ -421,7 +421,7 @@
 
 void Front::add_lines(const ListedExchange& lines) {
     lines_.push_back(lines);
-    lines_.back().entry.lines_only = true;
+    lines_.back().entry.never_tandem = true;
 }
 
 void Front::retire() {
--- a/src/trunk/front.hpp
+++ b/src/trunk/front.hpp
@@ -17,8 +17,8 @@
 
 struct GroupSettings {
     std::uint32_t id = 0;
-    ExchangeId exchange{};  // the far hub, as the call table knows it
-    int number = kNowhere;  // its exchange number
+    ExchangeId exchange{};     // the far hub, as the call table knows it
+    int number = kNoExchange;  // its exchange number
     std::string zone{};
     GroupRules rules{};
 };
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -48,9 +48,9 @@
 struct CallData {
     CallId call{};  // 16 hex digits, the same at both ends
     std::string service_class{}, number{}, description{};
-    int destination = kNowhere;
-    int via = kNowhere;  // number of the hub that sends it
-    Duration wait{};     // until the sender gives it up
+    int destination = kNoExchange;
+    int via = kNoExchange;  // number of the hub that sends it
+    Duration wait{};        // until the sender gives it up
     bool again = false, redial = false;
 };
 
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -37,8 +37,8 @@
     load.waiting_messages = take(usage, "pending", -1.0);
     load.utilisation = take(usage, "cpu_share", -1.0);
     load.wait_ms = take(usage, "svc_ms", -1.0);
-    load.can_take_per_second = take(usage, "can_take", -1.0);
-    load.hold_back_share = take(usage, "hold_back", -1.0);
+    load.max_set_ups_per_second = take(usage, "can_take", -1.0);
+    load.throttle_share = take(usage, "hold_back", -1.0);
     return load;
 }
 
@@ -92,7 +92,7 @@
 Outcome read_outcome(const std::string& code) {
     if (code == "S") return Outcome::ended;
     if (code == "E") return Outcome::failed;
-    if (code == "F") return Outcome::turned_back;
+    if (code == "F") return Outcome::rejected;
     if (code == "T") return Outcome::timed_out;
     if (code == "C") return Outcome::unreachable;
     if (code == "R") return Outcome::reset;
@@ -140,7 +140,7 @@
         out.Int(a.attempt);
     }
     void operator()(const Probe& a) const { command("health_check", "exchange", a.exchange); }
-    void operator()(const TellPeers& a) const {
+    void operator()(const SendPeerMessage& a) const {
         command("signal");
         out.Key("dest");
         if (a.to < 0) {
@@ -156,13 +156,13 @@
         out.Key("ref");
         out.Int64(a.token);
     }
-    void operator()(const FollowList& a) const {
+    void operator()(const SubscribeList& a) const {
         command("watch");
         out.Key("on");
         out.Bool(a.on);
     }
-    void operator()(const AskList&) const { command("get_list"); }
-    void operator()(const CloseIdle& a) const { command("hang_up", "exchange", a.exchange); }
+    void operator()(const RequestList&) const { command("get_list"); }
+    void operator()(const CloseIdleConnection& a) const { command("hang_up", "exchange", a.exchange); }
     void operator()(const Note& a) const { command("record", "msg", a.text); }
 };
 
@@ -185,17 +185,17 @@
             if (const Json* group = find(event, "client_group"); group && group->IsString())
                 e.tenant = place(tenants, value<std::string>(*group, "client_group"), "'client_group'");
             e.transit = take(event, "transit", false);
-            (e.transit ? e.previous : e.advised) = take(event, "hop", kNowhere);
-            e.patience = need_time(event, "grace_s");
+            (e.transit ? e.previous_exchange : e.advised_exchange) = take(event, "hop", kNoExchange);
+            e.time_left = need_time(event, "grace_s");
             e.expected_work = time_or(event, "work_hint_s");
-            e.was_cut = take(event, "reconnect", false);
+            e.is_reconnect = take(event, "reconnect", false);
             e.redial = take(event, "retry", false);
-            e.number = take<std::string>(event, "name_key", "");
+            e.called_number = take<std::string>(event, "name_key", "");
             return e;
         }
         if (cmd == "flowing")
-            return CallStands{need<std::string>(event, "xid"), need<int>(event, "n"),
-                              need<std::string>(event, "exchange"), time_or(event, "lag_s")};
+            return CallAnswered{need<std::string>(event, "xid"), need<int>(event, "n"),
+                                need<std::string>(event, "exchange"), time_or(event, "lag_s")};
         if (cmd == "completed") {
             AttemptEnded e;
             e.call = need<std::string>(event, "xid");
@@ -203,18 +203,18 @@
             e.exchange = need<std::string>(event, "exchange");
             e.outcome = read_outcome(need<std::string>(event, "disposition"));
             e.final = take(event, "last", false);
-            e.lag = time_or(event, "lag_s");
+            e.response_time = time_or(event, "lag_s");
             e.load = read_load(event);
             const int reason = take(event, "reason", 0);
             if (reason == 18) {
-                e.cause = Cause::by_tandem_far_processor;
+                e.cause = Cause::far_processor_full;
             } else if (reason % 16 == 3) {  // the told wait, in milliseconds, stands above the code
                 e.cause = Cause::processor_full;
-                e.told_wait = std::chrono::milliseconds(reason / 16);
+                e.requested_wait = std::chrono::milliseconds(reason / 16);
             } else if (reason == 1) {
                 e.cause = Cause::no_circuit;
             } else if (reason == 2) {
-                e.cause = Cause::by_tandem;
+                e.cause = Cause::rejected_by_tandem;
             } else if (reason == 4) {
                 e.cause = Cause::number_busy;
             }
@@ -225,14 +225,14 @@
             ExchangeReport e;
             e.exchange = need<std::string>(event, "exchange");
             e.answered = read_outcome(need<std::string>(event, "disposition")) == Outcome::ended;
-            e.lag = time_or(event, "lag_s");
-            e.probe = !e.answered || e.lag > Duration::zero();
+            e.response_time = time_or(event, "lag_s");
+            e.probe = !e.answered || e.response_time > Duration::zero();
             e.load = read_load(event);
             return e;
         }
         if (cmd == "neighbour_says")
             return PeerMessage{need<int>(event, "neighbour"), read_hex(need<std::string>(event, "blob"))};
-        if (cmd == "wakeup") return TimerDue{need<std::int64_t>(event, "ref")};
+        if (cmd == "wakeup") return TimerExpired{need<std::int64_t>(event, "ref")};
         bad("unknown command '" + cmd + "'");
     }
 
@@ -285,7 +285,7 @@
                         const std::string kind = need<std::string>(event, "kind");
                         list.kind = kind == "delta"    ? ListKind::changes
                                     : kind == "full"   ? ListKind::complete
-                                    : kind == "cached" ? ListKind::remembered
+                                    : kind == "cached" ? ListKind::cached
                                     : kind == "failed"
                                         ? ListKind::failed
                                         : (bad("unknown 'kind' '" + kind + "'"), ListKind::failed);
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -35,7 +35,7 @@
     desk.open(10);
     desk.circuits(1, 0, 10);
     CallOffered call = desk.call("a", 1);
-    call.advised = 3;
+    call.advised_exchange = 3;
     desk.tell(call);
     EXPECT_EQ(desk.sent_to("a"), "west");
 }
@@ -100,7 +100,7 @@
     desk.open(10);
     desk.circuits(1, 0, 10).offer("a", 1);
     const std::string tandem = desk.sent_to("a");
-    desk.ended("a", tandem == "east" ? 2 : 3, Outcome::turned_back, Cause::by_tandem).pass(5s);
+    desk.ended("a", tandem == "east" ? 2 : 3, Outcome::rejected, Cause::rejected_by_tandem).pass(5s);
     EXPECT_EQ(desk.sent("a").size(), 1u);
     EXPECT_TRUE(desk.refused("a"));
 }
@@ -111,7 +111,7 @@
     desk.open(20);
     desk.circuits(1, 0, 20).circuits(2, 20, 20).circuits(3, 10, 20).offer("a", 1);
     ASSERT_EQ(desk.sent_to("a"), "east");
-    desk.ended("a", 2, Outcome::turned_back, Cause::by_tandem).tell(CallAbandoned{"a"});
+    desk.ended("a", 2, Outcome::rejected, Cause::rejected_by_tandem).tell(CallAbandoned{"a"});
     desk.circuits(2, 20, 20).offer("b", 1);
     EXPECT_EQ(desk.sent_to("b"), "west");
     desk.circuits(3, 0, 20).offer("c", 3);
@@ -130,7 +130,7 @@
     };
     for (int i = 0; i < 60; ++i) {
         const CallId id = "back" + std::to_string(i);
-        if (tandem_call(id, 9)) desk.ended(id, 3, Outcome::turned_back, Cause::by_tandem);
+        if (tandem_call(id, 9)) desk.ended(id, 3, Outcome::rejected, Cause::rejected_by_tandem);
         desk.tell(CallAbandoned{id}).pass(9s);
     }
     EXPECT_FALSE(tandem_call("little room", 4));
@@ -200,7 +200,7 @@
     Desk desk;
     desk.open(10);
     desk.circuits(1, 1, 10).offer("wide", 1, 1, 2);
-    desk.ended("wide", 2, Outcome::turned_back, Cause::by_tandem);
+    desk.ended("wide", 2, Outcome::rejected, Cause::rejected_by_tandem);
     ASSERT_EQ(desk.sent("wide").size(), 1u);  // waits for a second circuit
     desk.offer("narrow", 1);
     EXPECT_EQ(desk.sent_to("narrow"), "west");  // and leaves the first one alone
@@ -224,13 +224,13 @@
     Desk desk;
     desk.open(10, 1);
     CallOffered call = desk.call("first", 1);
-    call.number = "n";
-    call.patience = abandoned ? 3s : 200ms;
+    call.called_number = "n";
+    call.time_left = abandoned ? 3s : 200ms;
     desk.circuits(1, 0, 10).tell(call).pass(250ms);
     if (abandoned) desk.tell(CallAbandoned{"first"});
     call.call = "second";
-    call.number = number;
-    call.patience = 3s;
+    call.called_number = number;
+    call.time_left = 3s;
     desk.pass(after).tell(call);
     return !desk.answered("second");
 }
@@ -257,7 +257,7 @@
     desk.state(1, ExchangeState::gone);
     const auto ring = [&desk](const CallId& id, int n) {
         CallOffered call = desk.call(id, 1);
-        call.number = "n" + std::to_string(n);
+        call.called_number = "n" + std::to_string(n);
         desk.tell(call);
     };
     for (int n = 0; n < 5000; ++n) ring("c" + std::to_string(n), n);
@@ -339,7 +339,7 @@
     Desk desk;
     desk.open(10, 1);
     CallOffered call = desk.call("a", 1);
-    call.patience = 800ms;
+    call.time_left = 800ms;
     desk.offer("x", 1).offer("y", 1).offer("z", 1).tell(call).pass(750ms);  // for the window to open
     EXPECT_FALSE(desk.answered("a"));
     desk.pass(50ms);
@@ -412,7 +412,7 @@
     }
     desk.circuits(1, 0, 10).offer("a", 1);
     CallOffered brief = desk.call("b", 1);
-    brief.patience = 10ms;
+    brief.time_left = 10ms;
     desk.tell(brief);
     ASSERT_TRUE(desk.refused("b"));
     EXPECT_GT(desk.refused("b")->pause, 1s);  // a circuit would be free in a second
@@ -429,10 +429,10 @@
     Desk desk(advising());
     desk.open(10, 1);
     CallOffered call = desk.call("a", 1);
-    call.number = "n";
+    call.called_number = "n";
     desk.tell(call).ended("a", 1, Outcome::failed, Cause::number_busy).pass(200ms);
     call.call = "b";
-    call.patience = 500ms;
+    call.time_left = 500ms;
     desk.tell(call);
     ASSERT_TRUE(desk.refused("b"));
     EXPECT_EQ(desk.refused("b")->pause, 800ms);
@@ -444,7 +444,7 @@
     desk.open(10, 1);
     desk.circuits(1, 0, 10).offer("long", 1);
     CallOffered brief = desk.call("brief", 1);
-    brief.patience = 30ms;
+    brief.time_left = 30ms;
     desk.tell(brief).pass(30ms);
     EXPECT_TRUE(desk.answered("brief"));
 }
@@ -465,7 +465,7 @@
     // already.
     for (const Duration repeat : {0ms, 400ms}) {
         Settings settings = mesh();
-        settings.set_up_repeat = repeat;
+        settings.set_up_repeat_interval = repeat;
         Desk desk(settings);
         desk.open(10, 1);
         desk.offer("a", 1);
@@ -527,7 +527,7 @@
 
 TEST(Answers, WhatMayHaveRunIsNotSentAgainWhereRepeatsHarm) {
     Settings s = mesh();
-    s.classes[0].repeat = Repeat::never;
+    s.classes[0].repeat = RepeatPolicy::never;
     Desk desk(s);
     desk.open(10, 1);
     desk.offer("a", 1).ended("a", 1, Outcome::timed_out);
@@ -665,7 +665,7 @@
     const double usual = 12.0;            // set-ups a second to each exchange, from all controls
     const double capacity = 4.0 * usual;  // a call is work at both ends, and so are its answer and release
     Settings settings = mesh();
-    settings.controls = controls;
+    settings.call_control_count = controls;
     std::vector<Desk> desks;
     for (int i = 0; i < controls; ++i) desks.emplace_back(settings, static_cast<std::uint64_t>(100 + i));
     for (Desk& desk : desks) desk.open(1000);
@@ -686,7 +686,7 @@
     const Instant start = desks[0].now;
     for (Desk& desk : desks) desk.state(1, ExchangeState::ready, start);
     std::vector<double> sent;  // seconds after the start
-    for (Duration t{}; t < settings.warm_within; t += step)
+    for (Duration t{}; t < settings.warm_up_time; t += step)
         for (Desk& desk : desks) {
             if (t >= 4s) desk.offer(std::to_string(++calls), 1);
             sent.insert(sent.end(), desk.pass(step).answer_all(), static_cast<double>(t.count()) / 1e6);
@@ -710,7 +710,7 @@
     // Guards: hanbit, journal f4538d01: 3.3 attempts a request, most turned away by a full processor.
     Desk desk;
     desk.open(20, 1);
-    desk.offer("a", 1).ended("a", 1, Outcome::turned_back, Cause::processor_full).offer("b", 1).pass(200ms);
+    desk.offer("a", 1).ended("a", 1, Outcome::rejected, Cause::processor_full).offer("b", 1).pass(200ms);
     EXPECT_EQ(desk.sends(), 1);
     desk.pass(1s);
     EXPECT_GT(desk.sends(), 1);
@@ -718,7 +718,7 @@
 
 TEST(Processors, AToldWaitIsKept) {
     Settings s = mesh();
-    s.tells_wait = true;
+    s.reports_wait = true;
     Desk desk(s);
     desk.open(20, 1);
     desk.offer("a", 1).full("a", 1, 900ms).pass(890ms);
@@ -819,10 +819,7 @@
             desk.answer_all();
             desk.pass(seldom ? 4s : 470ms);
         }
-        desk.offer("a", 1)
-            .ended("a", 1, Outcome::turned_back, Cause::processor_full)
-            .pass(700ms)
-            .offer("b", 1);
+        desk.offer("a", 1).ended("a", 1, Outcome::rejected, Cause::processor_full).pass(700ms).offer("b", 1);
         EXPECT_EQ(desk.sent_to("b"), seldom ? "" : "north");
     }
 }
@@ -902,7 +899,7 @@
     list.kind = ListKind::changes;
     list.entries = {{.exchange = "odd", .number = -7}};
     report.exchange = "odd";
-    desk.tell(list).tell(report).tell(TimerDue{123456});
+    desk.tell(list).tell(report).tell(TimerExpired{123456});
     desk.circuits(1, 50, 10).circuits(2, 0, 10).circuits(3, 0, 10);
     std::size_t sent = 0;
     for (int i = 0; i < 12; ++i) {
@@ -951,17 +948,17 @@
     Desk desk;
     desk.open(30, 1);
     CallOffered first = desk.call("a", 1);
-    first.number = "n";
+    first.called_number = "n";
     desk.tell(first).ended("a", 1, Outcome::failed, Cause::number_busy);
     for (int i = 0; i < 10; ++i) {
         CallOffered next = desk.call("b" + std::to_string(i), 1);
-        next.number = "n";
+        next.called_number = "n";
         desk.tell(next);
     }
     desk.pass(500ms);
     EXPECT_EQ(desk.sends(), 1);
     CallOffered other = desk.call("c", 1);
-    other.number = "m";
+    other.called_number = "m";
     desk.tell(other);
     EXPECT_EQ(desk.sent_to("c"), "north");
 }
@@ -971,8 +968,8 @@
 
 Settings pools() {
     Settings s = mesh();
-    s.own_exchange = kNowhere;
-    s.pools = true;
+    s.own_exchange = kNoExchange;
+    s.uses_pools = true;
     s.classes[0].pools = {1, 2};
     return s;
 }
@@ -1005,7 +1002,7 @@
     desk.open(10);
     desk.circuits(1, 0, 0).circuits(2, 8, 10).circuits(3, 6, 10).offer("a", 1);
     EXPECT_EQ(desk.sent_to("a"), "east");
-    desk.ended("a", 2, Outcome::turned_back, Cause::by_tandem).circuits(3, 6, 10).offer("b", 1);
+    desk.ended("a", 2, Outcome::rejected, Cause::rejected_by_tandem).circuits(3, 6, 10).offer("b", 1);
     EXPECT_EQ(desk.sent_to("b"), "west");
     desk.stands("b", 3).pass(10s).offer("c", 1);
     EXPECT_EQ(desk.sent_to("c"), "west");
@@ -1018,11 +1015,11 @@
     s.list_on_request = true;
     Desk desk(s);
     ExchangeList first;
-    first.kind = ListKind::remembered;
+    first.kind = ListKind::cached;
     desk.tell(first).pass(100ms);
     const auto follows = [&] {
         int n = 0;
-        for (const Action& a : desk.actions) n += std::holds_alternative<FollowList>(a);
+        for (const Action& a : desk.actions) n += std::holds_alternative<SubscribeList>(a);
         return n;
     };
     EXPECT_EQ(follows(), 1);
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -43,7 +43,7 @@
                            "f.xml");
     CHECK(file.log.json && file.log.level == "debug" && file.trunk->listen == "[::1]:7001");
     CHECK(file.trunk->ledger == "/var/l" && file.trunk->lines.size() == 1 &&
-          file.trunk->lines[0].entry.lines_only);
+          file.trunk->lines[0].entry.never_tandem);
     const auto& g = file.trunk->groups.at(0);
     CHECK(g.dial == "127.0.0.1:7002" && g.settings.rules.ends.own == 10 && g.settings.rules.ends.far == 20);
     CHECK(g.settings.rules.hold == 12500ms && g.settings.rules.release_guard == 4s &&
--- a/tests/desk.hpp
+++ b/tests/desk.hpp
@@ -21,17 +21,17 @@
 inline Settings mesh() {
     Settings s;
     s.own_exchange = 0;
-    s.controls = 4;
+    s.call_control_count = 4;
     s.max_attempts = 4;
-    s.step = 5ms;
+    s.min_event_interval = 5ms;
     s.release_wait = 200ms;
     s.drain_grace = 1s;
     s.answer_grace = 20ms;
     s.max_pause = 2s;
-    s.cold_from = 0.3;
-    s.warm_within = 15s;
-    s.fall_multiple = 2;
-    s.fall_span = 3s;
+    s.cold_start_share = 0.3;
+    s.warm_up_time = 15s;
+    s.overload_multiple = 2;
+    s.overload_span = 3s;
     ClassSettings cheap;
     cheap.name = "cheap";
     cheap.aim = 1s;
@@ -87,7 +87,7 @@
         c.destination = destination;
         c.service_class = service_class;
         c.width = width;
-        c.patience = 3s;
+        c.time_left = 3s;
         return c;
     }
 
@@ -98,12 +98,12 @@
     Desk& transit(const CallId& id, int destination, int width = 1) {
         CallOffered c = call(id, destination, 0, width);
         c.transit = true;
-        c.previous = 3;
+        c.previous_exchange = 3;
         return tell(c);
     }
 
     Desk& stands(const CallId& id, int number, Duration lag = 30ms, int attempt = 0) {
-        return tell(CallStands{id, attempt, kNames[number], lag});
+        return tell(CallAnswered{id, attempt, kNames[number], lag});
     }
 
     Desk& ended(const CallId& id, int number, Outcome outcome, Cause cause = Cause::none, bool final = false,
@@ -115,18 +115,18 @@
         e.outcome = outcome;
         e.cause = cause;
         e.final = final;
-        e.lag = 30ms;
+        e.response_time = 30ms;
         return tell(e);
     }
 
     // Turned back by a full processor that names a wait.
-    Desk& full(const CallId& id, int number, Duration told_wait) {
+    Desk& full(const CallId& id, int number, Duration requested_wait) {
         AttemptEnded e;
         e.call = id;
         e.exchange = kNames[number];
-        e.outcome = Outcome::turned_back;
+        e.outcome = Outcome::rejected;
         e.cause = Cause::processor_full;
-        e.told_wait = told_wait;
+        e.requested_wait = requested_wait;
         return tell(e);
     }
 
@@ -138,7 +138,7 @@
             auto first = timers.begin();
             if (first == timers.end() || first->first > end) break;
             now = std::max(now, first->first);
-            const TimerDue due{first->second};
+            const TimerExpired due{first->second};
             timers.erase(first);
             control.handle(now, due, actions);
         }
--- a/tests/net/calls_test.cpp
+++ b/tests/net/calls_test.cpp
@@ -41,7 +41,7 @@
     static Settings settings() {
         Settings s;
         s.own_exchange = 0;
-        s.controls = 3;
+        s.call_control_count = 3;
         s.max_attempts = 5;
         s.release_wait = 300ms;
         s.drain_grace = 500ms;
@@ -53,7 +53,7 @@
         return s;
     }
     static ListEvent all(std::initializer_list<std::pair<const char*, ExchangeState>> states,
-                         ListKind kind = ListKind::remembered) {
+                         ListKind kind = ListKind::cached) {
         ListEvent event{.number = 1, .has_list = true, .kind = kind, .version = 1, .entries = {}};
         for (const auto& [id, state] : states) {
             ListedExchange& listed = event.entries.emplace_back();
@@ -358,7 +358,7 @@
             w.offer(call, 1 + i % 2, 3600s);
             if (i % 5 == 0) w.gatekeeper.released(w.link, call);
             const ExchangeId at = w.sent.empty() ? id : w.sent.back().at;
-            if (i % 5 == 1) w.gatekeeper.ended(at, call, Outcome::turned_back, Cause::by_tandem, {});
+            if (i % 5 == 1) w.gatekeeper.ended(at, call, Outcome::rejected, Cause::rejected_by_tandem, {});
             if (i % 5 == 2) w.gatekeeper.ended(at, call, Outcome::failed, Cause::number_busy, {});
             if (i % 5 >= 3) w.gatekeeper.stands(at, call, "d");
             if (i % 5 == 3) w.gatekeeper.ended(at, call, Outcome::ended, Cause::none, {});
--- a/tests/net/codec_test.cpp
+++ b/tests/net/codec_test.cpp
@@ -118,10 +118,10 @@
         const char* note;
         Outcome outcome;
         Cause why;
-    } const table[] = {{34, "no_circuit", Outcome::turned_back, Cause::no_circuit},
-                       {34, "turned_back", Outcome::turned_back, Cause::by_tandem},
-                       {34, "far_overload", Outcome::turned_back, Cause::by_tandem_far_processor},
-                       {34, "overload", Outcome::turned_back, Cause::processor_full},
+    } const table[] = {{34, "no_circuit", Outcome::rejected, Cause::no_circuit},
+                       {34, "turned_back", Outcome::rejected, Cause::rejected_by_tandem},
+                       {34, "far_overload", Outcome::rejected, Cause::far_processor_full},
+                       {34, "overload", Outcome::rejected, Cause::processor_full},
                        {17, "lines_busy", Outcome::failed, Cause::number_busy},
                        {47, "", Outcome::failed, Cause::none},
                        {102, "overload", Outcome::not_sent, Cause::processor_full},
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -14,7 +14,7 @@
     World(Settings settings, std::uint64_t seed) : s(std::move(settings)), dice(seed), control(s, seed) {}
 
     std::vector<std::string> run(int steps) {
-        list(ListKind::remembered);
+        list(ListKind::cached);
         for (int step = 0; step < steps; ++step) {
             now += 5ms;
             timers_due();
@@ -24,7 +24,7 @@
             if (roll(0.3)) circuits(1 + pick(others));
             if (roll(0.01)) list(roll(0.3) ? ListKind::complete : ListKind::changes);
             if (roll(0.002)) give(PeerMessage{1, {1, 2, 3}});
-            if (roll(0.002)) give(TimerDue{99});
+            if (roll(0.002)) give(TimerExpired{99});
         }
         for (int step = 0; step < 2500; ++step) {  // no more calls: all must end
             now += 5ms;
@@ -67,16 +67,16 @@
         c.destination = 1 + pick(others);
         c.service_class = pick(static_cast<int>(s.classes.size()));
         c.width = 1 + pick(3);
-        c.patience = Duration(1000 * (1 + pick(roll(0.1) ? 60 : 4000)));
-        c.transit = !s.pools && roll(0.2);
-        if (c.transit) c.previous = 1 + pick(others);
-        c.number = "n" + std::to_string(pick(20));
-        c.was_cut = roll(0.05);
-        c.advised = roll(0.2) ? pick(others + 1) : kNowhere;
+        c.time_left = Duration(1000 * (1 + pick(roll(0.1) ? 60 : 4000)));
+        c.transit = !s.uses_pools && roll(0.2);
+        if (c.transit) c.previous_exchange = 1 + pick(others);
+        c.called_number = "n" + std::to_string(pick(20));
+        c.is_reconnect = roll(0.05);
+        c.advised_exchange = roll(0.2) ? pick(others + 1) : kNoExchange;
         if (!s.tenants.empty()) c.tenant = pick(static_cast<int>(s.tenants.size()));
         open.insert(c.call);
         Known& k = calls[c.call];
-        k.answer_by = now + c.patience + s.answer_grace;
+        k.answer_by = now + c.time_left + s.answer_grace;
         k.transit = c.transit;
         k.destination = c.destination;
         k.service_class = c.service_class;
@@ -105,8 +105,8 @@
             ExchangeEntry e;
             e.exchange = machine(number);
             e.number = number;
-            e.state = kind == ListKind::remembered ? ExchangeState::ready
-                                                   : static_cast<ExchangeState>(std::max(0, pick(6) - 3));
+            e.state = kind == ListKind::cached ? ExchangeState::ready
+                                               : static_cast<ExchangeState>(std::max(0, pick(6) - 3));
             e.started = started[number];
             return e;
         };
@@ -122,8 +122,7 @@
             }
         } else {
             for (int number = 0; number <= others; ++number)
-                if (kind == ListKind::remembered || number == 0 || roll(0.85))
-                    l.entries.push_back(entry(number));
+                if (kind == ListKind::cached || number == 0 || roll(0.85)) l.entries.push_back(entry(number));
             std::set<ExchangeId> present;
             for (const auto& e : l.entries) present.insert(e.exchange);
             for (const auto& id : listed)
@@ -143,7 +142,7 @@
 
     void timers_due() {
         while (!timers.empty() && timers.begin()->first <= now) {
-            const TimerDue timer{timers.begin()->second};
+            const TimerExpired timer{timers.begin()->second};
             timers.erase(timers.begin());
             give(timer);
         }
@@ -165,7 +164,7 @@
                 k.out = false;
                 k.standing = true;
                 due.emplace(now + Duration(1000 * pick(8000)), Due{d.call, d.attempt, d.exchange, true});
-                give(CallStands{d.call, d.attempt, d.exchange, 30ms});
+                give(CallAnswered{d.call, d.attempt, d.exchange, 30ms});
             } else {
                 AttemptEnded e{.call = d.call, .attempt = d.attempt, .exchange = d.exchange};
                 e.outcome = static_cast<Outcome>(1 + pick(7));
@@ -214,7 +213,7 @@
         EXPECT_GT(a.time_out, Duration::zero());
         EXPECT_TRUE(!k.transit || number_of[a.exchange] == k.destination);
         EXPECT_TRUE(!left.count(a.exchange) || now - left[a.exchange] <= s.drain_grace);
-        const bool safe = s.classes[static_cast<std::size_t>(k.service_class)].repeat == Repeat::safe;
+        const bool safe = s.classes[static_cast<std::size_t>(k.service_class)].repeat == RepeatPolicy::safe;
         EXPECT_TRUE(safe || k.proven);
         k.out = true;
         const Duration lag(1000 * pick(roll(0.1) ? 5000 : 200));
@@ -228,14 +227,14 @@
         timers.emplace(now + std::max(a.delay, Duration(1)), a.token);
     }
     void did(const Probe&) { EXPECT_TRUE(s.may_probe); }
-    void did(const TellPeers& a) {
-        EXPECT_TRUE(s.may_message);
+    void did(const SendPeerMessage& a) {
+        EXPECT_TRUE(s.may_message_peers);
         EXPECT_LE(a.bytes.size(), 256u);
     }
     void did(const Cancel&) { EXPECT_TRUE(s.may_cancel); }
-    void did(const FollowList&) {}
-    void did(const AskList&) {}
-    void did(const CloseIdle&) {}
+    void did(const SubscribeList&) {}
+    void did(const RequestList&) {}
+    void did(const CloseIdleConnection&) {}
     void did(const Note&) {}
 
     void end(const CallId& id, const char* how) {
@@ -267,18 +266,18 @@
 Settings varied(int variant) {
     Settings s = mesh();
     if (variant & 1) {
-        s.pools = true;
-        s.own_exchange = kNowhere;
+        s.uses_pools = true;
+        s.own_exchange = kNoExchange;
         s.classes[0].pools = {1, 2, 3};
     }
     if (variant & 2) {
-        s.classes[1].repeat = Repeat::never;
-        s.fall_span = Duration::zero();
+        s.classes[1].repeat = RepeatPolicy::never;
+        s.overload_span = Duration::zero();
         s.tenants = {{"a", 3.0, 0.5}, {"b", 0.0, 0.5}};
         s.over_share_worth = 0.1;
     }
     if (variant & 4) {
-        s.may_advise_pause = s.may_message = s.may_cancel = s.may_probe = true;
+        s.may_advise_pause = s.may_message_peers = s.may_cancel = s.may_probe = true;
         s.list_on_request = true;
         s.max_attempts = 2;
         for (int i = 0; i < 6; ++i) s.classes.push_back(s.classes[0]);
--- a/tests/trunk/front_test.cpp
+++ b/tests/trunk/front_test.cpp
@@ -48,7 +48,7 @@
 
     static Settings settings() {
         Settings s;
-        s.controls = 2, s.max_attempts = 5, s.release_wait = 300ms, s.drain_grace = 500ms;
+        s.call_control_count = 2, s.max_attempts = 5, s.release_wait = 300ms, s.drain_grace = 500ms;
         for (const int width : {1, 3}) {
             ClassSettings c;
             c.name = width == 1 ? "move" : "live-board";
@@ -72,7 +72,7 @@
         own.entry.exchange = "lines", own.entry.number = number;
         front.add_lines(own);
         table.list(front.with_hubs(
-            {.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}}));
+            {.number = 1, .has_list = true, .kind = ListKind::cached, .version = 1, .entries = {}}));
         LoadReport room;
         room.free_circuits = room.group_size = 100;
         table.group_state("lines", room);
