--- a/include/nettlestall/call_control.hpp
+++ b/include/nettlestall/call_control.hpp
@@ -2,7 +2,7 @@
 //
 // The host hands every event to CallControl::handle with its own clock and carries out the actions
 // that come back, in order. Nothing here does I/O, reads a clock or starts a thread.
-// All decisions are in src/choice.cpp.
+// All decisions are in src/call_control.cpp.
 #pragma once
 
 #include <chrono>
--- a/tests/choice_test.cpp
+++ b/tests/call_control_test.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "desk.hpp"
+#include "call_control_driver.hpp"
 
 namespace nettlestall::test {
 namespace {
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "desk.hpp"
+#include "call_control_driver.hpp"
 
 namespace nettlestall::test {
 namespace {
