--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -149,18 +149,18 @@
     g.exchange = text_of(node, "exchange");
     g.number = number_of<int>(node, "number");
     g.zone = text_of(node, "zone");
-    g.rules.ends = {own, number_of<int>(node, "far-point")};
+    g.rules.point_codes = {own, number_of<int>(node, "far-point")};
     g.rules.circuits = number_of<int>(node, "circuits");
     for_each_child(node, [&g](const xmlNode* part, const std::string& name) {
         if (name == "audit") {
-            g.rules.audit.on = is_true(part, "on");
-            g.rules.audit.every = time_of(part, "every-s");
-            g.rules.audit.patience = time_of(part, "patience-s");
+            g.rules.audit.enabled = is_true(part, "on");
+            g.rules.audit.interval = time_of(part, "every-s");
+            g.rules.audit.response_timeout = time_of(part, "patience-s");
             g.rules.audit.confirmations = number_of<int>(part, "confirmations");
         } else {
             g.rules.release_guard = time_of(part, "release-guard-s");
-            g.rules.reset_again = time_of(part, "reset-again-s");
-            g.rules.hold = time_of(part, "hold-s");
+            g.rules.reset_repeat_interval = time_of(part, "reset-again-s");
+            g.rules.link_down_hold = time_of(part, "hold-s");
         }
     });
     return g;
@@ -179,16 +179,17 @@
     void group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& g) {
         if (!once(groups_, std::to_string(g.id), node)) complain(node, "id", "is another group's");
         const bool dials = !text_of(node, "dial").empty();
-        if (g.rules.ends.own == g.rules.ends.far) complain(node, "far-point", "is this hub's own point");
-        if (g.rules.ends.own < g.rules.ends.far && !dials)
+        if (g.rules.point_codes.own == g.rules.point_codes.far)
+            complain(node, "far-point", "is this hub's own point");
+        if (g.rules.point_codes.own < g.rules.point_codes.far && !dials)
             complaints_.add(node, "attribute 'dial' is expected: the hub with the lower point code dials");
-        if (g.rules.ends.own > g.rules.ends.far && dials)
+        if (g.rules.point_codes.own > g.rules.point_codes.far && dials)
             complaints_.add(
                 node, "attribute 'dial' is not expected: the far hub has the lower point code and dials");
-        if (g.rules.ends.own > g.rules.ends.far && text_of(trunk, "listen").empty())
+        if (g.rules.point_codes.own > g.rules.point_codes.far && text_of(trunk, "listen").empty())
             complaints_.add(trunk, "attribute 'listen' is expected: the far hub of group " +
                                        std::to_string(g.id) + " dials this one");
-        if (g.rules.audit.patience > g.rules.audit.every)
+        if (g.rules.audit.response_timeout > g.rules.audit.interval)
             complaints_.add(node, "<audit>: 'patience-s' of at most 'every-s' is expected");
     }
 
@@ -270,7 +271,7 @@
     const auto same_group = [](const TrunkSettings::Group& x, const TrunkSettings::Group& y) {
         return x.settings.id == y.settings.id && x.settings.exchange == y.settings.exchange &&
                x.settings.number == y.settings.number &&
-               x.settings.rules.ends.far == y.settings.rules.ends.far &&
+               x.settings.rules.point_codes.far == y.settings.rules.point_codes.far &&
                x.settings.rules.circuits == y.settings.rules.circuits && x.dial == y.dial;
     };
     if (!std::equal(a.groups.begin(), a.groups.end(), b.groups.begin(), b.groups.end(), same_group))
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "calls/signals.hpp"
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::config {
 
--- a/src/lab/glare.cpp
+++ b/src/lab/glare.cpp
@@ -110,10 +110,10 @@
         g.id = id;
         g.exchange = "hub-" + std::to_string(far);
         g.number = far;
-        g.rules.ends = {own + 1, far + 1};
+        g.rules.point_codes = {own + 1, far + 1};
         g.rules.circuits = settings_.circuits;
         g.rules.hunting = settings_.parity ? trunk::Hunting::own_half : trunk::Hunting::ascending;
-        g.rules.audit.on = settings_.audits;
+        g.rules.audit.enabled = settings_.audits;
         return g;
     }
 
@@ -211,7 +211,7 @@
         const Pair& pair = any_pair();
         const int hub = faults_.once_in(0.5) ? pair.a : pair.b;
         if (!at(hub).alive()) return;
-        trunk::Front::Trunk& trunk = *at(hub).front()->find(pair.id);
+        trunk::TrunkManager::Trunk& trunk = *at(hub).front()->find(pair.id);
         std::vector<trunk::CallRef> standing;
         for (const auto& [ref, leg] : trunk.group().legs())
             if (leg.state == trunk::LegState::standing) standing.push_back(ref);
@@ -219,7 +219,7 @@
         const trunk::CallRef ref = standing[index(faults_.below(static_cast<int>(standing.size())))];
         ++result_.memory_faults;
         truth_.calls[trunk.group().leg(ref)->call].damaged = true;
-        trunk.lose_memory_of(ref);
+        trunk.inject_memory_loss(ref);
         damages_.push_back({&pair, ref, simulation_.now()});
     }
 
@@ -267,7 +267,7 @@
                     if (!at(hub).alive()) continue;
                     const trunk::Group& g = at(hub).front()->find(pair.id)->group();
                     const trunk::Leg* leg = g.leg(g.circuits().at(n).call);
-                    busy |= !g.circuits().at(n).idle() && !(leg && truth_.calls[leg->call].live());
+                    busy |= !g.circuits().at(n).is_idle() && !(leg && truth_.calls[leg->call].live());
                 }
                 stuck += busy;
             }
@@ -285,13 +285,13 @@
 
     void add_counts(Hub& hub) {
         if (!hub.alive()) return;
-        for (const trunk::Front::Trunk* trunk : hub.front()->trunks()) {
+        for (const trunk::TrunkManager::Trunk* trunk : hub.front()->trunks()) {
             const trunk::GroupCounts& c = trunk->group().counts();
             result_.seizures += c.seizures;
             result_.glares += c.glares_lost;
             result_.audit_freed += c.audit_freed;
             result_.recovered += c.recovered;
-            result_.guards += c.guards;
+            result_.guards += c.release_timeouts;
         }
     }
 
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -82,7 +82,7 @@
         hub_.do_awake([this, bytes = std::move(bytes), watch = watch_] {
             if (!up_ || watch != watch_) return;
             heard_ = hub_.simulation_.now();
-            if (auto* trunk = hub_.front()->find(group_); !trunk->fed(bytes)) lose();
+            if (auto* trunk = hub_.front()->find(group_); !trunk->receive_bytes(bytes)) lose();
         });
     }
     void broken() override {
@@ -90,7 +90,7 @@
             if (up_ && watch == watch_) lose();
         });
     }
-    void flush(trunk::Front::Trunk& trunk) {
+    void flush(trunk::TrunkManager::Trunk& trunk) {
         if (wire) wire->write(*this, trunk.take_output());
     }
     void gone() { up_ = false; }  // the process has crashed
@@ -106,7 +106,7 @@
             hub_.do_awake([this, which] {
                 if (!up_ || which != watch_) return;
                 if (hub_.simulation_.now() - heard_ >= kSilence) return lose();
-                hub_.front()->find(group_)->beat();
+                hub_.front()->find(group_)->send_heartbeat();
                 watch(which);
             });
         });
@@ -160,7 +160,7 @@
           trunk_alarm(hub.simulation_,
                       [&hub](std::function<void()> work) { hub.do_awake(std::move(work)); }) {
         calls_alarm.on_ring([this] { gatekeeper.run_due(); });
-        trunk_alarm.on_ring([this] { front.run_due(); });
+        trunk_alarm.on_ring([this] { front.run_timers(); });
         gatekeeper.on_schedule([this](Instant at) { calls_alarm.set(at); });
         front.on_schedule([this](Instant at) { trunk_alarm.set(at); });
     }
@@ -169,7 +169,7 @@
     Lines lines;
     calls::Routes routes;
     calls::Gatekeeper gatekeeper;
-    trunk::Front front;
+    trunk::TrunkManager front;
     Callers callers;
     Alarm calls_alarm, trunk_alarm;
 };
@@ -192,7 +192,7 @@
     ends_.at(group)->wire = &wire;
 }
 
-trunk::Front* Hub::front() {
+trunk::TrunkManager* Hub::front() {
     return process_ ? &process_->front : nullptr;
 }
 
@@ -213,8 +213,9 @@
     stalled_until_ = {};
     process_ = std::make_unique<Process>(*this);
     Process& p = *process_;
-    p.front.on_output([this](trunk::Front::Trunk& trunk) { ends_.at(trunk.settings().id)->flush(trunk); });
-    p.front.on_freed([this](const trunk::Front::Trunk&, const trunk::Freed& freed) {
+    p.front.on_output(
+        [this](trunk::TrunkManager::Trunk& trunk) { ends_.at(trunk.settings().id)->flush(trunk); });
+    p.front.on_freed([this](const trunk::TrunkManager::Trunk&, const trunk::FreedByAudit& freed) {
         const auto at = truth_.calls.find(freed.call);
         if (at != truth_.calls.end() && at->second.live()) ++truth_.live_cut_by_audit;
     });
@@ -226,14 +227,15 @@
     for (const trunk::GroupSettings& group : settings_.groups)
         p.routes.add(p.front.add(group).settings().exchange, p.front);
     p.front.begin(life_, with_ledger ? &ledger_ : nullptr);
-    p.gatekeeper.list(p.front.with_hubs(list));
+    p.gatekeeper.list(p.front.with_far_hubs(list));
     lines_tell_room();
     if (with_ledger) {
         std::vector<trunk::LedgerCall> calls;
         for (const auto& [group, places] : ledger_.places)
-            for (trunk::LedgerCall& call : trunk::whole(places)) calls.push_back(std::move(call));
+            for (trunk::LedgerCall& call : trunk::complete_calls(places)) calls.push_back(std::move(call));
         p.front.restore(calls, [&p](const trunk::LedgerCall& known, CallerLink* link) {
-            const ExchangeId at = known.outgoing ? p.front.find(known.group)->settings().exchange : known.at;
+            const ExchangeId at =
+                known.outgoing ? p.front.find(known.group)->settings().exchange : known.exchange;
             p.gatekeeper.take_standing(at, known.call, known.origin, link);
         });
     }
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -12,7 +12,7 @@
 #include "calls/routes.hpp"
 #include "lab/simulation.hpp"
 #include "lab/wire.hpp"
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::lab {
 
@@ -39,15 +39,15 @@
 // Survives the process, as a disk does.
 class MemoryLedger final : public trunk::Ledger {
    public:
-    void remember(const trunk::LedgerCall& call) override {
+    void store_call(const trunk::LedgerCall& call) override {
         for (const trunk::CircuitNumber n : call.claim.circuits) places[call.group][n] = call;
     }
-    void forget(std::uint32_t group, const trunk::Claim& claim) override {
+    void remove_call(std::uint32_t group, const trunk::Claim& claim) override {
         std::erase_if(places[group],
                       [&](const auto& place) { return place.second.claim.call == claim.call; });
     }
-    void remember_blocked(std::uint32_t group, trunk::CircuitNumber circuit,
-                          trunk::Blocking blocking) override {
+    void store_blocking(std::uint32_t group, trunk::CircuitNumber circuit,
+                        trunk::Blocking blocking) override {
         blocked[{group, circuit}] = blocking;
     }
     std::map<std::uint32_t, std::map<trunk::CircuitNumber, trunk::LedgerCall>> places;
@@ -80,7 +80,7 @@
     void on_line_end(std::function<void(int, const CallId&)> end) { line_ends_by_ = std::move(end); }
     void line_hangs_up(const CallId& call);
 
-    trunk::Front* front();
+    trunk::TrunkManager* front();
     const Counters* counters() const;
 
    private:
--- a/src/lab/search.cpp
+++ b/src/lab/search.cpp
@@ -20,18 +20,18 @@
 constexpr Duration kTick = std::chrono::seconds(6);  // longer than the guards of releases and resets
 constexpr int kQuietRounds = 60;
 
-bool never_ours(const trunk::Ends&, const trunk::CircuitList&, const trunk::CircuitList&) {
+bool never_ours(const trunk::PointCodes&, const trunk::CircuitList&, const trunk::CircuitList&) {
     return false;
 }
 
 GroupRules rules_of(const SearchSettings& settings, int end) {
     GroupRules rules;
-    rules.ends = end == 0 ? trunk::Ends{1, 2} : trunk::Ends{2, 1};
+    rules.point_codes = end == 0 ? trunk::PointCodes{1, 2} : trunk::PointCodes{2, 1};
     rules.circuits = settings.circuits;
     rules.audit.confirmations = 1;
-    rules.audit.every = std::chrono::minutes(1);
-    if (settings.broken == "glare") rules.glare = &never_ours;
-    if (settings.broken == "audit") rules.audit.heeds_changes = false;
+    rules.audit.interval = std::chrono::minutes(1);
+    if (settings.broken == "glare") rules.glare_rule = &never_ours;
+    if (settings.broken == "audit") rules.audit.skip_changed_circuits = false;
     return rules;
 }
 
@@ -63,8 +63,8 @@
     void carry_out(int by, const Effects& effects) {
         for (const trunk::Effect& effect : effects) {
             if (const auto* send = std::get_if<trunk::Send>(&effect)) to[other(by)].push_back(send->message);
-            if (std::holds_alternative<trunk::Renew>(effect)) renew = true;
-            if (std::holds_alternative<trunk::Freed>(effect) && !lost_any)
+            if (std::holds_alternative<trunk::RestartLink>(effect)) renew = true;
+            if (std::holds_alternative<trunk::FreedByAudit>(effect) && !lost_any)
                 wrong = "an audit freed a call that nobody had forgotten";
         }
     }
@@ -113,7 +113,7 @@
         now += time;
         for (int e : {0, 1}) {
             Effects effects;
-            end(e).run_due(now, effects);
+            end(e).run_timers(now, effects);
             carry_out(e, effects);
         }
     }
@@ -125,9 +125,10 @@
 
     std::string image() const {
         std::string text;
-        for (const Group& group : ends) text += group.image(now) + '|';
+        for (const Group& group : ends) text += group.state_key(now) + '|';
         for (const auto& inbox : to) {
-            for (const trunk::Message& message : inbox) text += trunk::write(trunk::Numbered{0, 0, message});
+            for (const trunk::Message& message : inbox)
+                text += trunk::encode(trunk::NumberedMessage{0, 0, message});
             text += '|';
         }
         for (const int left : {calls[0], calls[1], breaks, resumes, crashes, losses, repeats, ticks, audits})
@@ -229,7 +230,7 @@
                 if (world.losses > 0 && leg.state == LegState::standing)
                     steps.emplace_back(who + " forgets" + call, [e, r = ref](World& w) {
                         --w.losses, w.lost_any = true;
-                        w.end(e).lose_memory_of(r);
+                        w.end(e).inject_memory_loss(r);
                     });
             }
             if (world.audits > 0 && group.in_service())
@@ -237,7 +238,7 @@
                     --w.audits;
                     w.end(e).audit_now(w.now);
                     Effects effects;
-                    w.end(e).run_due(w.now, effects);
+                    w.end(e).run_timers(w.now, effects);
                     w.carry_out(e, effects);
                 });
             if (world.crashes > 0)
@@ -282,7 +283,7 @@
     static bool idle(const World& world) {
         return world.to[0].empty() && world.to[1].empty() &&
                std::all_of(world.ends.begin(), world.ends.end(), [](const Group& group) {
-                   return group.in_service() && group.circuits().busy() == 0 && group.legs().empty();
+                   return group.in_service() && group.circuits().busy_count() == 0 && group.legs().empty();
                });
     }
 
--- a/src/net/trunks.cpp
+++ b/src/net/trunks.cpp
@@ -24,11 +24,11 @@
 // One connection of a group.
 class Trunks::Link : public std::enable_shared_from_this<Link> {
    public:
-    Link(tcp::socket socket, trunk::Front::Trunk& of) : trunk(of), socket_(std::move(socket)) {
+    Link(tcp::socket socket, trunk::TrunkManager::Trunk& of) : trunk(of), socket_(std::move(socket)) {
         set_up_socket(socket_);
     }
 
-    trunk::Front::Trunk& trunk;
+    trunk::TrunkManager::Trunk& trunk;
     Clock::time_point heard = Clock::now();
 
     tcp::socket& socket() { return socket_; }
@@ -68,8 +68,8 @@
     bool writing_ = false, ending_ = false;
 };
 
-Trunks::Trunks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-               trunk::Front::Time time, Note note)
+Trunks::Trunks(asio::io_context& io, trunk::TrunkManager& front, std::optional<tcp::endpoint> listen,
+               trunk::TrunkManager::Clock time, Note note)
     : io_(io),
       front_(front),
       time_(std::move(time)),
@@ -78,13 +78,13 @@
       acceptor_(io),
       alarm_(io),
       beat_(io) {
-    front_.on_output([this](trunk::Front::Trunk& trunk) { flush(trunk); });
+    front_.on_output([this](trunk::TrunkManager::Trunk& trunk) { flush(trunk); });
     front_.on_schedule([this](Instant at) { arm(at); });
 }
 
 Trunks::~Trunks() = default;
 
-void Trunks::dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
+void Trunks::dial(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to) {
     dialled_.push_back({&trunk, to});
 }
 
@@ -169,20 +169,20 @@
         if (error || stopped_ || !socket->is_open()) co_return;
         first.append(space.data(), bytes);
         trunk::FrameReader reader;
-        reader.fed(first);
+        reader.append(first);
         const auto next = reader.next(frame);
-        if (next == trunk::FrameReader::Next::frame) break;
-        if (next == trunk::FrameReader::Next::malformed || first.size() > kRead) co_return;
+        if (next == trunk::FrameReader::Status::complete) break;
+        if (next == trunk::FrameReader::Status::malformed || first.size() > kRead) co_return;
     }
     limit.cancel();
     const auto* hello = std::get_if<trunk::Hello>(&frame);
-    trunk::Front::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
+    trunk::TrunkManager::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
     std::string wrong = !hello   ? "no hello"
                         : !group ? "group " + std::to_string(hello->group) + " is not known here"
-                                 : group->session().wrong_with(*hello);
+                                 : group->session().find_mismatch(*hello);
     if (!wrong.empty()) {
         note_("trunk connection refused: " + wrong);
-        const std::string bye = trunk::write(trunk::Bye{wrong.substr(0, trunk::kLongestName)});
+        const std::string bye = trunk::encode(trunk::Bye{wrong.substr(0, trunk::kMaxTextBytes)});
         co_await asio::async_write(*socket, asio::buffer(bye), asio::as_tuple(asio::use_awaitable));
         co_return;
     }
@@ -200,11 +200,12 @@
         if (stopped_) co_return;
         if (!error) {
             const std::uint64_t before =
-                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew;
+                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted;
             co_await converse(std::make_shared<Link>(std::move(socket), *dialled.trunk), {});
             if (stopped_) co_return;
             // Guards against a far end that takes connections and closes each at once.
-            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew > before)
+            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted >
+                before)
                 wait = kFirstPause;
         }
         pause.expires_after(wait);
@@ -219,8 +220,8 @@
     links_[&link->trunk] = link;
     link->trunk.connected();
     const auto take = [&](std::string_view bytes) {
-        if (link->trunk.fed(bytes)) return true;
-        lose(link, link->trunk.session().complaint());
+        if (link->trunk.receive_bytes(bytes)) return true;
+        lose(link, link->trunk.session().close_reason());
         return false;
     };
     if (!first.empty() && !take(first)) co_return;
@@ -250,7 +251,7 @@
     if (std::exchange(last_note_[&link->trunk], text) != text) note_(text);
 }
 
-void Trunks::flush(trunk::Front::Trunk& trunk) {
+void Trunks::flush(trunk::TrunkManager::Trunk& trunk) {
     if (const auto at = links_.find(&trunk); at != links_.end()) at->second->send(trunk.take_output());
 }
 
@@ -267,7 +268,7 @@
             if (Clock::now() - link->heard >= kSilence)
                 lose(link, "nothing heard for 3 s");
             else
-                link->trunk.beat();
+                link->trunk.send_heartbeat();
         }
     }
 }
@@ -279,7 +280,7 @@
     alarm_.async_wait([this](const boost::system::error_code& stopped) {
         if (stopped || stopped_) return;
         armed_ = Instant::max();
-        front_.run_due();
+        front_.run_timers();
     });
 }
 
--- a/src/net/trunks.hpp
+++ b/src/net/trunks.hpp
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "net/connection.hpp"
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::net {
 
@@ -23,11 +23,11 @@
 
     using Note = std::function<void(const std::string&)>;
 
-    Trunks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-           trunk::Front::Time time, Note note);
+    Trunks(asio::io_context& io, trunk::TrunkManager& front, std::optional<tcp::endpoint> listen,
+           trunk::TrunkManager::Clock time, Note note);
     ~Trunks();
 
-    void dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to);
+    void dial(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to);
     // Listens if it is to. While the address is in use it tries again, as the process before this one may
     // still have it; anything else throws boost::system::system_error.
     void start();
@@ -37,7 +37,7 @@
    private:
     class Link;
     struct Dialled {
-        trunk::Front::Trunk* trunk;
+        trunk::TrunkManager::Trunk* trunk;
         tcp::endpoint to;
     };
 
@@ -48,21 +48,21 @@
     asio::awaitable<void> converse(std::shared_ptr<Link> link, std::string first);
     asio::awaitable<void> beat();
     void arm(Instant at);
-    void flush(trunk::Front::Trunk& trunk);
+    void flush(trunk::TrunkManager::Trunk& trunk);
     void lose(const std::shared_ptr<Link>& link, const std::string& why);
 
     asio::io_context& io_;
-    trunk::Front& front_;
-    trunk::Front::Time time_;
+    trunk::TrunkManager& front_;
+    trunk::TrunkManager::Clock time_;
     Note note_;
     std::optional<tcp::endpoint> listen_;
     tcp::acceptor acceptor_;
     asio::steady_timer alarm_, beat_;
     Instant armed_ = Instant::max();
     std::vector<Dialled> dialled_;
-    std::map<trunk::Front::Trunk*, std::shared_ptr<Link>> links_;
+    std::map<trunk::TrunkManager::Trunk*, std::shared_ptr<Link>> links_;
     std::list<std::weak_ptr<tcp::socket>> unknown_;  // the oldest first
-    std::map<trunk::Front::Trunk*, std::string> last_note_;
+    std::map<trunk::TrunkManager::Trunk*, std::string> last_note_;
     bool stopped_ = false;
 };
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -96,7 +96,7 @@
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
-            for (const trunk::Front::Trunk* of : trunk_->front().trunks())
+            for (const trunk::TrunkManager::Trunk* of : trunk_->front().trunks())
                 routes_.add(of->settings().exchange, trunk_->front());
         }
         bool first = true;
@@ -126,7 +126,7 @@
 
     bool ready() override { return in_charge_ && gatekeeper_.ready(); }
     std::string metrics() const override {
-        return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
+        return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().metrics() : std::string());
     }
     std::optional<protocol::OperatorReply> other(std::string_view method, std::string_view path,
                                                  std::string_view query) override {
@@ -135,7 +135,7 @@
             return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kOldestShown)};
         }
         if (!trunk_) return std::nullopt;
-        return trunk_->desk().carry_out(method, path, query);
+        return trunk_->desk().handle(method, path, query);
     }
     void drain() override {
         ++counters_.drains;
@@ -232,7 +232,7 @@
     // The call table first: it withdraws what is out to an exchange before its connection goes.
     void take(const ListEvent& event) {
         if (trunk_) {
-            ListEvent all = trunk_->front().with_hubs(event);
+            ListEvent all = trunk_->front().with_far_hubs(event);
             gatekeeper_.list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
             servers_.list(all);
--- a/src/store/trunk_ledger.cpp
+++ b/src/store/trunk_ledger.cpp
@@ -38,7 +38,7 @@
         if (c == ' ') {
             circuits.push_back(std::exchange(number, 0));
         } else {
-            if (c < '0' || c > '9' || number > trunk::kMostCircuits) return {};
+            if (c < '0' || c > '9' || number > trunk::kMaxCircuitsPerGroup) return {};
             number = number * 10 + (c - '0');
         }
     }
@@ -203,7 +203,7 @@
     }
 }
 
-std::uint32_t TrunkLedger::next_life(std::uint32_t at_least) {
+std::uint32_t TrunkLedger::next_incarnation(std::uint32_t at_least) {
     std::int64_t life = at_least;
     write([&life](Database& db) {
         life = std::max(life, db.number("SELECT value FROM facts WHERE name='life'") + 1);
@@ -223,14 +223,14 @@
                     call.claim.circuits = to_circuits(row.text(3));
                     call.call = row.text(4);
                     call.outgoing = row.number(5) != 0;
-                    call.at = row.text(6);
+                    call.exchange = row.text(6);
                     call.origin = row.text(7);
                     places[call.group][static_cast<trunk::CircuitNumber>(row.number(1))] = std::move(call);
                 });
     });
     std::vector<trunk::LedgerCall> found;
     for (const auto& [group, of_group] : places)
-        for (trunk::LedgerCall& call : trunk::whole(of_group)) found.push_back(std::move(call));
+        for (trunk::LedgerCall& call : trunk::complete_calls(of_group)) found.push_back(std::move(call));
     return found;
 }
 
@@ -247,17 +247,17 @@
     return found;
 }
 
-void TrunkLedger::remember(const trunk::LedgerCall& call) {
+void TrunkLedger::store_call(const trunk::LedgerCall& call) {
     write([&call](Database& db) {
         for (const trunk::CircuitNumber n : call.claim.circuits)
             db.execute("INSERT OR REPLACE INTO places VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
                        static_cast<std::int64_t>(call.group), static_cast<std::int64_t>(n),
                        static_cast<std::int64_t>(call.claim.call), to_text(call.claim.circuits), call.call,
-                       static_cast<std::int64_t>(call.outgoing), call.at, call.origin);
+                       static_cast<std::int64_t>(call.outgoing), call.exchange, call.origin);
     });
 }
 
-void TrunkLedger::forget(std::uint32_t group, const trunk::Claim& claim) {
+void TrunkLedger::remove_call(std::uint32_t group, const trunk::Claim& claim) {
     write([&](Database& db) {
         for (const trunk::CircuitNumber n : claim.circuits)
             db.execute("DELETE FROM places WHERE grp=? AND circuit=? AND ref=?",
@@ -266,8 +266,8 @@
     });
 }
 
-void TrunkLedger::remember_blocked(std::uint32_t group, trunk::CircuitNumber circuit,
-                                   trunk::Blocking blocking) {
+void TrunkLedger::store_blocking(std::uint32_t group, trunk::CircuitNumber circuit,
+                                 trunk::Blocking blocking) {
     write([&](Database& db) {
         if (blocking == trunk::Blocking::none)
             db.execute("DELETE FROM blocked WHERE grp=? AND circuit=?", static_cast<std::int64_t>(group),
--- a/src/store/trunk_ledger.hpp
+++ b/src/store/trunk_ledger.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::store {
 
@@ -22,9 +22,9 @@
     TrunkLedger(const std::string& folder, trunk::PointCode own, Note note);
     ~TrunkLedger() override;
 
-    bool in_use() const { return db_ != nullptr; }
+    bool is_open() const { return db_ != nullptr; }
     // More than at any start before: at least `at_least`.
-    std::uint32_t next_life(std::uint32_t at_least);
+    std::uint32_t next_incarnation(std::uint32_t at_least);
     std::vector<trunk::LedgerCall> calls();  // those that hold all of their places
     struct Blocked {
         std::uint32_t group;
@@ -33,10 +33,9 @@
     };
     std::vector<Blocked> blocked();
 
-    void remember(const trunk::LedgerCall& call) override;
-    void forget(std::uint32_t group, const trunk::Claim& claim) override;
-    void remember_blocked(std::uint32_t group, trunk::CircuitNumber circuit,
-                          trunk::Blocking blocking) override;
+    void store_call(const trunk::LedgerCall& call) override;
+    void remove_call(std::uint32_t group, const trunk::Claim& claim) override;
+    void store_blocking(std::uint32_t group, trunk::CircuitNumber circuit, trunk::Blocking blocking) override;
 
    private:
     class Database;
--- a/src/trunk/audit.cpp
+++ b/src/trunk/audit.cpp
@@ -5,12 +5,12 @@
 
 namespace nettlestall::trunk {
 
-Instant Audit::next_due() const {
-    if (!rules_.on) return Instant::max();
-    return out_ ? out_->at + rules_.patience : due_;
+Instant Audit::next_timer() const {
+    if (!rules_.enabled) return Instant::max();
+    return out_ ? out_->at + rules_.response_timeout : due_;
 }
 
-void Audit::hurry(Instant now) {
+void Audit::start_now(Instant now) {
     next_ = 1;
     due_ = now;
     started_ = true;
@@ -23,17 +23,17 @@
     next_ = 1;
 }
 
-int Audit::suspects() const {
+int Audit::suspect_count() const {
     return static_cast<int>(std::count_if(suspicion_.begin(), suspicion_.end(), [](int s) { return s > 0; }));
 }
 
 std::optional<Query> Audit::ask(Instant now, const Circuits& circuits) {
-    if (!rules_.on) return std::nullopt;
-    if (!std::exchange(started_, true)) due_ = now + rules_.every;  // nothing is stuck at the very start
-    if (now < next_due()) return std::nullopt;
+    if (!rules_.enabled) return std::nullopt;
+    if (!std::exchange(started_, true)) due_ = now + rules_.interval;  // nothing is stuck at the very start
+    if (now < next_timer()) return std::nullopt;
     if (next_ > circuits.size()) next_ = 1;
     Asked asked{++last_id_, now, next_, {}};
-    const int count = std::min(rules_.at_once, circuits.size() - next_ + 1);
+    const int count = std::min(rules_.circuits_per_query, circuits.size() - next_ + 1);
     for (CircuitNumber n = next_; n < next_ + count; ++n) asked.changes.push_back(circuits.at(n).changes);
     out_ = std::move(asked);
     ++asked_count_;
@@ -54,12 +54,12 @@
         const CircuitNumber n = asked.first + static_cast<CircuitNumber>(i);
         const Circuit& ours = circuits.at(n);
         int& suspicion = suspicion_[static_cast<std::size_t>(n - 1)];
-        if (rules_.heeds_changes && ours.changes != asked.changes[i]) {
+        if (rules_.skip_changed_circuits && ours.changes != asked.changes[i]) {
             suspicion = 0;
             continue;
         }
         // Guards against a call that is just being let go: what awaits the other end's word heals by itself.
-        if (ours.call == response.calls[i] || ours.in_between() || response.calls[i] == kInBetween) {
+        if (ours.call == response.calls[i] || ours.is_transient() || response.calls[i] == kTransient) {
             suspicion = 0;
             continue;
         }
@@ -75,9 +75,9 @@
     // A doubt is looked into soon, and what remains of the group is asked about at once.
     if (doubted) {
         next_ = asked.first;
-        due_ = asked.at + std::min<Duration>(rules_.every, std::chrono::seconds(1));
+        due_ = asked.at + std::min<Duration>(rules_.interval, std::chrono::seconds(1));
     } else {
-        due_ = next_ > circuits.size() ? asked.at + rules_.every : asked.at;
+        due_ = next_ > circuits.size() ? asked.at + rules_.interval : asked.at;
     }
     return stuck;
 }
--- a/src/trunk/audit.hpp
+++ b/src/trunk/audit.hpp
@@ -11,12 +11,13 @@
 namespace nettlestall::trunk {
 
 struct AuditRules {
-    bool on = true;
-    Duration every = std::chrono::seconds(30);    // each circuit is asked about so often
-    Duration patience = std::chrono::seconds(5);  // for a response, before the question is put anew
-    int confirmations = 2;                        // findings in a row until a circuit is freed
-    int at_once = 256;                            // circuits in one question
-    bool heeds_changes = true;  // off only in tests: what happened since the question is not looked at
+    bool enabled = true;
+    Duration interval = std::chrono::seconds(30);         // each circuit is asked about so often
+    Duration response_timeout = std::chrono::seconds(5);  // for a response, before the question is put anew
+    int confirmations = 2;                                // findings in a row until a circuit is freed
+    int circuits_per_query = 256;                         // circuits in one question
+    bool skip_changed_circuits =
+        true;  // off only in tests: what happened since the question is not looked at
 };
 
 // A call is alive only where both ends hold it on the circuit. The link keeps the order of messages, so a
@@ -36,14 +37,14 @@
     // Circuits on which both ends have disagreed often enough. They are to be reset, with whatever is held.
     std::vector<CircuitNumber> judge(const QueryResponse& response, const Circuits& circuits);
 
-    Instant next_due() const;
+    Instant next_timer() const;
     // The whole group is asked about from now on; by an operator's order, or upon a contradiction.
-    void hurry(Instant now);
+    void start_now(Instant now);
     void forget();  // the link starts anew: questions and findings with it
 
     std::uint64_t asked() const { return asked_count_; }
     std::uint64_t findings() const { return findings_; }
-    int suspects() const;
+    int suspect_count() const;
 
    private:
     struct Asked {
--- a/src/trunk/circuits.cpp
+++ b/src/trunk/circuits.cpp
@@ -14,7 +14,7 @@
 // By state, then by event: seize, accept, take, answer, yield, release, clear, reset, doubt. A seizure of the
 // far end may take a circuit that yields: it is the one that won. A circuit that is being released or reset
 // takes none, which guards against a seizure that crosses a release.
-constexpr std::array<std::array<S, kCircuitEvents>, kCircuitStates> kNext{{
+constexpr std::array<std::array<S, kCircuitEventCount>, kCircuitStateCount> kNext{{
     /* idle       */ {S::seizing, kNot, S::incoming, kNot, kNot, kNot, kNot, S::resetting, S::unsure},
     /* seizing    */
     {kNot, S::proceeding, kNot, kNot, S::yielding, S::releasing, S::idle, S::resetting, S::unsure},
@@ -27,7 +27,7 @@
     /* unsure     */ {kNot, kNot, kNot, kNot, kNot, kNot, S::idle, S::resetting, S::unsure},
 }};
 
-constexpr std::array<std::string_view, kCircuitStates> kNames{
+constexpr std::array<std::string_view, kCircuitStateCount> kNames{
     "idle", "seizing", "proceeding", "incoming", "standing", "yielding", "releasing", "resetting", "unsure"};
 
 }  // namespace
@@ -54,14 +54,14 @@
     return true;
 }
 
-int Circuits::free() const {
+int Circuits::free_count() const {
     return static_cast<int>(
-        std::count_if(circuits_.begin(), circuits_.end(), [](const Circuit& c) { return c.free(); }));
+        std::count_if(circuits_.begin(), circuits_.end(), [](const Circuit& c) { return c.is_free(); }));
 }
 
-int Circuits::busy() const {
+int Circuits::busy_count() const {
     return static_cast<int>(
-        std::count_if(circuits_.begin(), circuits_.end(), [](const Circuit& c) { return !c.idle(); }));
+        std::count_if(circuits_.begin(), circuits_.end(), [](const Circuit& c) { return !c.is_idle(); }));
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/circuits.hpp
+++ b/src/trunk/circuits.hpp
@@ -21,21 +21,21 @@
     resetting,   // our reset is on its way
     unsure,      // not known to be idle at the far end: it is reset before anything else
 };
-constexpr int kCircuitStates = 9;
+constexpr int kCircuitStateCount = 9;
 std::string_view name_of(CircuitState state);
 
 enum class CircuitEvent : std::uint8_t {
-    seize,    // by this end
-    accept,   // the far end took it
-    take,     // the far end's seizure is taken
-    answer,   // by either end
-    yield,    // to the far end's seizure
-    release,  // by this end, towards the far end
-    clear,    // the far end has released it, or confirms our release, reset or yielding
-    reset,    // by this end
-    doubt,    // the link was lost for good, or the far end contradicts us
+    seize,            // by this end
+    accept,           // the far end took it
+    accept_incoming,  // the far end's seizure is taken
+    answer,           // by either end
+    yield,            // to the far end's seizure
+    release,          // by this end, towards the far end
+    clear,            // the far end has released it, or confirms our release, reset or yielding
+    reset,            // by this end
+    mark_unsure,      // the link was lost for good, or the far end contradicts us
 };
-constexpr int kCircuitEvents = 9;
+constexpr int kCircuitEventCount = 9;
 
 // Where `event` leads from `state`; false: it can't happen there, and nothing changes.
 bool next_state(CircuitState state, CircuitEvent event, CircuitState& next);
@@ -47,14 +47,16 @@
     std::uint32_t changes = 0;     // of state or call: what is known of it is as old as this number
     std::uint64_t idle_since = 0;  // order in which circuits fell idle; nought: never busy
 
-    bool idle() const { return state == CircuitState::idle; }
+    bool is_idle() const { return state == CircuitState::idle; }
     // This end awaits the far end's word on it, and lets go by itself if that does not come.
-    bool in_between() const {
+    bool is_transient() const {
         return state == CircuitState::seizing || state == CircuitState::yielding ||
                state == CircuitState::releasing || state == CircuitState::resetting ||
                state == CircuitState::unsure;
     }
-    bool free() const { return idle() && blocked_here == Blocking::none && blocked_there == Blocking::none; }
+    bool is_free() const {
+        return is_idle() && blocked_here == Blocking::none && blocked_there == Blocking::none;
+    }
 };
 
 class Circuits {
@@ -74,8 +76,8 @@
         circuits_[index(number)].blocked_there = blocking;
     }
 
-    int free() const;  // that a set-up may seize
-    int busy() const;  // that are not idle
+    int free_count() const;  // that a set-up may seize
+    int busy_count() const;  // that are not idle
 
    private:
     static std::size_t index(CircuitNumber number) { return static_cast<std::size_t>(number - 1); }
--- a/src/trunk/glare.hpp
+++ b/src/trunk/glare.hpp
@@ -8,13 +8,13 @@
 
 // The end with the higher point code controls the circuits with even numbers, the other one the odd ones
 // (Q.764, 2.9.1.4).
-bool controls(const Ends& ends, CircuitNumber circuit);
+bool controls(const PointCodes& point_codes, CircuitNumber circuit);
 
 // The lowest circuit that both want; nought: none, so that there is no glare between them. Both lists rise.
-CircuitNumber contested(const CircuitList& ours, const CircuitList& theirs);
+CircuitNumber lowest_contested_circuit(const CircuitList& ours, const CircuitList& theirs);
 
 // Of two seizures that crossed: whether ours stands. It is judged as a whole by the lowest contested circuit:
 // judged circuit by circuit, two wide calls could each win one and lose one, and neither would get its way.
-bool ours_stands(const Ends& ends, const CircuitList& ours, const CircuitList& theirs);
+bool our_seizure_wins(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs);
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/group.cpp
+++ b/src/trunk/group.cpp
@@ -29,14 +29,14 @@
     return kLegNames[static_cast<std::size_t>(state)];
 }
 
-Group::Group(const GroupRules& rules, std::uint32_t life)
+Group::Group(const GroupRules& rules, std::uint32_t incarnation)
     : rules_(rules), circuits_(rules.circuits), audit_(rules.audit) {
-    begin(life);
+    set_incarnation(incarnation);
 }
 
-void Group::begin(std::uint32_t life) {
-    next_ref_ = static_cast<CallRef>(rules_.ends.higher()) << 63 | static_cast<CallRef>(life & 0x7fffffff)
-                                                                       << 32;
+void Group::set_incarnation(std::uint32_t incarnation) {
+    next_ref_ = static_cast<CallRef>(rules_.point_codes.own_is_higher()) << 63 |
+                static_cast<CallRef>(incarnation & 0x7fffffff) << 32;
 }
 
 const Leg* Group::leg(CallRef ref) const {
@@ -44,10 +44,10 @@
     return at == legs_.end() ? nullptr : &at->second;
 }
 
-void Group::take_times(const GroupRules& rules) {
+void Group::update_timers(const GroupRules& rules) {
     rules_.release_guard = rules.release_guard;
-    rules_.reset_again = rules.reset_again;
-    rules_.hold = rules.hold;
+    rules_.reset_repeat_interval = rules.reset_repeat_interval;
+    rules_.link_down_hold = rules.link_down_hold;
     rules_.audit = rules.audit;
     audit_.take(rules.audit);
 }
@@ -67,7 +67,7 @@
 void Group::erase(Legs::iterator at, Effects& out) {
     for (const CircuitNumber n : at->second.circuits)
         if (circuits_.at(n).call == at->first) circuits_.apply(n, CircuitEvent::clear, kNoCall);
-    if (at->second.state == LegState::standing) out.push_back(Forget{{at->first, at->second.circuits}});
+    if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
     legs_.erase(at);
 }
 
@@ -82,12 +82,12 @@
 bool Group::restore(const Claim& claim, const CallId& call, bool outgoing, Instant now) {
     const bool free =
         exist(claim.circuits) && std::all_of(claim.circuits.begin(), claim.circuits.end(),
-                                             [this](CircuitNumber n) { return circuits_.at(n).idle(); });
+                                             [this](CircuitNumber n) { return circuits_.at(n).is_idle(); });
     if (!free || legs_.count(claim.call)) return false;
     Leg& leg = legs_[claim.call];
     leg = {outgoing, LegState::standing, claim.circuits, call, now};
     for (const CircuitNumber n : claim.circuits) {
-        circuits_.apply(n, CircuitEvent::take, claim.call);
+        circuits_.apply(n, CircuitEvent::accept_incoming, claim.call);
         circuits_.apply(n, CircuitEvent::answer, claim.call);
     }
     held_on_ = true;
@@ -103,7 +103,7 @@
 
 CallRef Group::set_up(Instant now, CallData data, int width, Effects& out) {
     if (!in_service()) return kNoCall;
-    CircuitList chosen = hunt(circuits_, rules_.ends, width, rules_.hunting, lately_);
+    CircuitList chosen = hunt(circuits_, rules_.point_codes, width, rules_.hunting, lately_);
     if (chosen.empty()) {
         ++counts_.no_circuit;
         return kNoCall;
@@ -122,7 +122,7 @@
     if (at == legs_.end() || at->second.state != LegState::incoming) return false;
     ++counts_.answered;
     move(at->second, ref, LegState::standing, CircuitEvent::answer, now);
-    out.push_back(Remember{{ref, at->second.circuits}, at->second.call, false});
+    out.push_back(StoreCall{{ref, at->second.circuits}, at->second.call, false});
     out.push_back(Send{Answer{ref, std::move(description)}});
     return true;
 }
@@ -143,7 +143,7 @@
 
 // The circuits stay out of use until the far end confirms (Q.764, 2.3.1).
 void Group::let_go(Instant now, Legs::iterator at, Reason reason, Effects& out) {
-    if (at->second.state == LegState::standing) out.push_back(Forget{{at->first, at->second.circuits}});
+    if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
     move(at->second, at->first, LegState::releasing, CircuitEvent::release, now);
     out.push_back(Send{Release{at->first, reason}});
 }
@@ -180,7 +180,8 @@
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n) {
         circuits_.block_there(n, Blocking::none);
         const Circuit& c = circuits_.at(n);
-        if (!c.idle() && c.state != CircuitState::standing) circuits_.apply(n, CircuitEvent::doubt, c.call);
+        if (!c.is_idle() && c.state != CircuitState::standing)
+            circuits_.apply(n, CircuitEvent::mark_unsure, c.call);
     }
     Claims message{claims(), {}};
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n)
@@ -212,7 +213,7 @@
 
 const char* Group::on(Instant now, const Claims& m, Effects& out) {
     if (synced_) return "claims on a link that goes on";
-    if (const char* wrong = wrong_with(m, circuits_.size())) return wrong;
+    if (const char* wrong = find_error(m, circuits_.size())) return wrong;
     const Reconciled result = reconcile(claims(), m.calls);
     counts_.recovered += result.kept.size();
     counts_.not_recovered += result.ours.size();
@@ -244,15 +245,15 @@
     std::erase_if(yielding_, [&](CallRef ref) {
         const Leg* yielded = leg(ref);
         if (!yielded || yielded->state != LegState::yielding) return true;
-        if (contested(yielded->circuits, m.circuits) &&
-            rules_.glare(rules_.ends, yielded->circuits, m.circuits))
+        if (lowest_contested_circuit(yielded->circuits, m.circuits) &&
+            rules_.glare_rule(rules_.point_codes, yielded->circuits, m.circuits))
             yields = false;
         return false;
     });
     for (const CallRef ref : crossed) {
         ++counts_.glares;
         const auto at = legs_.find(ref);
-        if (rules_.glare(rules_.ends, at->second.circuits, m.circuits)) {
+        if (rules_.glare_rule(rules_.point_codes, at->second.circuits, m.circuits)) {
             yields = false;
             continue;
         }
@@ -280,22 +281,22 @@
         CircuitState next{};
         if (reason == Reason::normal && c.blocked_here != Blocking::none) reason = Reason::unusable;
         // Guards a call of ours, and a circuit whose release or reset the far end has not confirmed.
-        if (reason != Reason::glare && !next_state(c.state, CircuitEvent::take, next))
+        if (reason != Reason::glare && !next_state(c.state, CircuitEvent::accept_incoming, next))
             reason = Reason::not_idle;
         const bool held = c.state == CircuitState::proceeding || c.state == CircuitState::incoming ||
                           c.state == CircuitState::standing;
         if (!held) continue;
         ++counts_.contradictions;  // the far end takes it for idle
-        audit_.hurry(now);
+        audit_.start_now(now);
     }
     if (reason != Reason::normal) {
         ++counts_.rejected;
         out.push_back(Send{Reject{m.call, reason}});
         return nullptr;
     }
-    ++counts_.taken;
+    ++counts_.seizures_accepted;
     legs_[m.call] = {false, LegState::incoming, m.circuits, m.data.call, now};
-    for (const CircuitNumber n : m.circuits) circuits_.apply(n, CircuitEvent::take, m.call);
+    for (const CircuitNumber n : m.circuits) circuits_.apply(n, CircuitEvent::accept_incoming, m.call);
     out.push_back(Send{Accept{m.call}});
     out.push_back(Offered{m.call, static_cast<int>(m.circuits.size()), m.data});
     return nullptr;
@@ -322,7 +323,7 @@
     if (at == legs_.end()) return nullptr;
     if (m.reason == Reason::not_idle || m.reason == Reason::unusable) {
         lately_ = at->second.circuits;
-        audit_.hurry(now);
+        audit_.start_now(now);
     }
     end(at, at->second.state == LegState::standing ? Reason::cut : m.reason, out);
     erase(at, out);
@@ -341,7 +342,7 @@
     if (at->second.state != LegState::proceeding) return nullptr;  // crossed our release, or repeated
     ++counts_.answered;
     move(at->second, m.call, LegState::standing, CircuitEvent::answer, now);
-    out.push_back(Remember{{m.call, at->second.circuits}, at->second.call, true});
+    out.push_back(StoreCall{{m.call, at->second.circuits}, at->second.call, true});
     out.push_back(Answered{m.call, at->second.call, m.description});
     return nullptr;
 }
@@ -437,7 +438,7 @@
         if (!circuits_.exists(n)) continue;
         known.push_back(n);
         circuits_.block_here(n, blocking);
-        out.push_back(RememberBlocked{n, blocking});
+        out.push_back(StoreBlocking{n, blocking});
         if (blocking == Blocking::hard && circuits_.at(n).call != kNoCall) cut.insert(circuits_.at(n).call);
     }
     if (known.empty()) return;
@@ -463,7 +464,7 @@
         return "a query about a circuit that does not exist";
     QueryResponse response{m.id, m.first, {}};
     for (CircuitNumber n = m.first; n < m.first + m.count; ++n)
-        response.calls.push_back(circuits_.at(n).in_between() ? kInBetween : circuits_.at(n).call);
+        response.calls.push_back(circuits_.at(n).is_transient() ? kTransient : circuits_.at(n).call);
     out.push_back(Send{std::move(response)});
     return nullptr;
 }
@@ -475,31 +476,31 @@
         const CallRef ref = circuits_.at(n).call;
         const Leg* held = leg(ref);
         ++counts_.audit_freed;
-        out.push_back(Freed{n, ref, held ? held->call : CallId()});
+        out.push_back(FreedByAudit{n, ref, held ? held->call : CallId()});
     }
     reset(now, stuck, Reason::reset, out);
     return nullptr;
 }
 
 void Group::audit_now(Instant now) {
-    audit_.hurry(now);
+    audit_.start_now(now);
 }
 
 // ---- Time ------------------------------------------------------------------------------------------
 
-Instant Group::next_due() const {
-    if (!up_) return held_on_ && !legs_.empty() ? down_since_ + rules_.hold : Instant::max();
+Instant Group::next_timer() const {
+    if (!up_) return held_on_ && !legs_.empty() ? down_since_ + rules_.link_down_hold : Instant::max();
     if (!synced_) return Instant::max();
-    Instant due = audit_.next_due();
+    Instant due = audit_.next_timer();
     for (const auto& [ref, leg] : legs_)
         if (awaits_the_far_end(leg.state)) due = std::min(due, leg.since + rules_.release_guard);
-    for (const auto& [id, reset] : resets_) due = std::min(due, reset.at + rules_.reset_again);
+    for (const auto& [id, reset] : resets_) due = std::min(due, reset.at + rules_.reset_repeat_interval);
     return due;
 }
 
-void Group::run_due(Instant now, Effects& out) {
+void Group::run_timers(Instant now, Effects& out) {
     if (!up_) {
-        if (!held_on_ || now < down_since_ + rules_.hold) return;
+        if (!held_on_ || now < down_since_ + rules_.link_down_hold) return;
         held_on_ = false;
         // Callers must not stand for ever over a link that does not come back. The far end keeps its own
         // time, so what it still has is not to be taken for ours: the next link starts anew.
@@ -507,12 +508,13 @@
             const auto leg = at++;
             end(leg, Reason::cut, out);
             if (leg->second.state == LegState::standing)
-                out.push_back(Forget{{leg->first, leg->second.circuits}});
+                out.push_back(RemoveCall{{leg->first, leg->second.circuits}});
             for (const CircuitNumber n : leg->second.circuits)
-                if (circuits_.at(n).call == leg->first) circuits_.apply(n, CircuitEvent::doubt, leg->first);
+                if (circuits_.at(n).call == leg->first)
+                    circuits_.apply(n, CircuitEvent::mark_unsure, leg->first);
             legs_.erase(leg);
         }
-        out.push_back(Renew{});
+        out.push_back(RestartLink{});
         return;
     }
     if (!synced_) return;
@@ -521,7 +523,7 @@
         const auto leg = at++;
         if (!awaits_the_far_end(leg->second.state) || now < leg->second.since + rules_.release_guard)
             continue;
-        ++counts_.guards;
+        ++counts_.release_timeouts;
         for (const CircuitNumber n : leg->second.circuits)
             if (circuits_.at(n).call == leg->first) unconfirmed.push_back(n);
         legs_.erase(leg);
@@ -531,7 +533,7 @@
     std::vector<CircuitList> again;
     for (auto at = resets_.begin(); at != resets_.end();) {
         const auto reset = at++;
-        if (now < reset->second.at + rules_.reset_again) continue;
+        if (now < reset->second.at + rules_.reset_repeat_interval) continue;
         CircuitList waiting;
         for (const CircuitNumber n : reset->second.circuits)
             if (circuits_.at(n).state == CircuitState::resetting) waiting.push_back(n);
@@ -544,7 +546,7 @@
 
 // ---- For the search of states ------------------------------------------------------------------------
 
-std::string Group::image(Instant now) const {
+std::string Group::state_key(Instant now) const {
     std::string text = std::string(up_ ? "u" : "d") + (synced_ ? "s" : "-") + (held_on_ ? "h" : "-");
     append(text, static_cast<std::int64_t>(next_ref_));
     append(text, static_cast<std::int64_t>(last_taken_));
@@ -563,11 +565,11 @@
     for (const auto& [id, reset] : resets_) append(text, id), append(text, (reset.at - now).count());
     for (const CircuitNumber n : lately_) append(text, n);
     if (!up_ && held_on_) append(text, (down_since_ - now).count());
-    if (audit_.next_due() != Instant::max()) append(text, (audit_.next_due() - now).count());
+    if (audit_.next_timer() != Instant::max()) append(text, (audit_.next_timer() - now).count());
     return text;
 }
 
-void Group::lose_memory_of(CallRef ref) {
+void Group::inject_memory_loss(CallRef ref) {
     Effects unheard;
     if (const auto at = legs_.find(ref); at != legs_.end()) erase(at, unheard);
 }
--- a/src/trunk/group.hpp
+++ b/src/trunk/group.hpp
@@ -22,17 +22,17 @@
 
 namespace nettlestall::trunk {
 
-using GlareRule = bool (*)(const Ends& ends, const CircuitList& ours, const CircuitList& theirs);
+using GlareRule = bool (*)(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs);
 
 struct GroupRules {
-    Ends ends{};
+    PointCodes point_codes{};
     int circuits = 1;
     Hunting hunting = Hunting::own_half;
-    GlareRule glare = &ours_stands;  // another one only in experiments
+    GlareRule glare_rule = &our_seizure_wins;  // another one only in experiments
     AuditRules audit{};
     Duration release_guard = std::chrono::seconds(4);  // until what is not confirmed is reset (T1, T5)
-    Duration reset_again = std::chrono::seconds(5);    // until a reset is repeated (T16, T17)
-    Duration hold = std::chrono::seconds(30);          // for calls that stand over a link that is down
+    Duration reset_repeat_interval = std::chrono::seconds(5);  // until a reset is repeated (T16, T17)
+    Duration link_down_hold = std::chrono::seconds(30);  // for calls that stand over a link that is down
 };
 
 enum class LegState : std::uint8_t { seizing, proceeding, incoming, standing, yielding, releasing };
@@ -64,41 +64,44 @@
 struct Ended {  // a call of ours or theirs, by anything but this end's own release()
     CallRef ref;
     CallId call;
-    bool outgoing, stood;
+    bool outgoing, was_answered;
     Reason reason;
 };
-struct Remember {  // a call stands; comes before the message that says so to the far end
+struct StoreCall {  // a call stands; comes before the message that says so to the far end
     Claim claim;
     CallId call;
     bool outgoing;
 };
-struct Forget {  // it does so no longer
+struct RemoveCall {  // it does so no longer
     Claim claim;
 };
-struct RememberBlocked {
+struct StoreBlocking {
     CircuitNumber circuit;
     Blocking blocking;
 };
-struct Freed {  // by an audit
+struct FreedByAudit {  // by an audit
     CircuitNumber circuit;
     CallRef ref;  // what was held here; kNoCall: the far end held something
     CallId call;
 };
-struct Renew {};  // the link must not be resumed: it has been down for too long
-using Effect = std::variant<Send, Offered, Answered, Ended, Remember, Forget, RememberBlocked, Freed, Renew>;
+struct RestartLink {};  // the link must not be resumed: it has been down for too long
+using Effect = std::variant<Send, Offered, Answered, Ended, StoreCall, RemoveCall, StoreBlocking,
+                            FreedByAudit, RestartLink>;
 using Effects = std::vector<Effect>;
 
 struct GroupCounts {
-    std::uint64_t seizures = 0, taken = 0, glares = 0, glares_lost = 0, rejected = 0, no_circuit = 0;
+    std::uint64_t seizures = 0, seizures_accepted = 0, glares = 0, glares_lost = 0, rejected = 0,
+                  no_circuit = 0;
     std::uint64_t answered = 0, released = 0, resets = 0, audit_freed = 0, recovered = 0, not_recovered = 0;
-    std::uint64_t contradictions = 0, guards = 0;  // guards: releases that were not confirmed in time
+    std::uint64_t contradictions = 0,
+                  release_timeouts = 0;  // guards: releases that were not confirmed in time
 };
 
 class Group {
    public:
     // `life` differs from one start of this end to the next; 31 bits count.
-    Group(const GroupRules& rules, std::uint32_t life);
-    void begin(std::uint32_t life);  // another one, before the first call
+    Group(const GroupRules& rules, std::uint32_t incarnation);
+    void set_incarnation(std::uint32_t incarnation);  // another one, before the first call
 
     // ---- At the start, from a ledger
     // False: a circuit of it does not exist or is another call's.
@@ -122,24 +125,24 @@
     void reset(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
     void audit_now(Instant now);
 
-    void run_due(Instant now, Effects& out);
-    Instant next_due() const;
+    void run_timers(Instant now, Effects& out);
+    Instant next_timer() const;
 
     bool in_service() const { return up_ && synced_; }
     // What the decision module is told: free circuits; none while nothing can be set up.
-    int free() const { return in_service() ? circuits_.free() : 0; }
+    int free_circuits() const { return in_service() ? circuits_.free_count() : 0; }
     const Circuits& circuits() const { return circuits_; }
     const std::map<CallRef, Leg>& legs() const { return legs_; }
     const Leg* leg(CallRef ref) const;
     const GroupRules& rules() const { return rules_; }
     const GroupCounts& counts() const { return counts_; }
     const Audit& audits() const { return audit_; }
-    void take_times(const GroupRules& rules);  // a reload: all but ends, circuits and hunting
+    void update_timers(const GroupRules& rules);  // a reload: all but ends, circuits and hunting
 
     // All that decides what comes next, for the search of states; times relative to `now`.
-    std::string image(Instant now) const;
+    std::string state_key(Instant now) const;
     // For tests and the lab: the end forgets a call without a word, as a fault in memory would have it.
-    void lose_memory_of(CallRef ref);
+    void inject_memory_loss(CallRef ref);
 
    private:
     using Legs = std::map<CallRef, Leg>;
@@ -157,7 +160,7 @@
     const char* on(Instant now, const QueryResponse& m, Effects& out);
     const char* on(Instant now, const Claims& m, Effects& out);
 
-    bool ours(CallRef ref) const { return ((ref >> 63) != 0) == rules_.ends.higher(); }
+    bool ours(CallRef ref) const { return ((ref >> 63) != 0) == rules_.point_codes.own_is_higher(); }
     bool exist(const CircuitList& circuits) const;
     void move(Leg& leg, CallRef ref, LegState to, CircuitEvent by, Instant now);
     void end(Legs::iterator at, Reason reason, Effects& out);  // tells whoever has the call
--- a/src/trunk/messages.cpp
+++ b/src/trunk/messages.cpp
@@ -64,7 +64,7 @@
         if (value > highest) fail();
         return ok_ ? value : 0;
     }
-    Reason reason() { return static_cast<Reason>(check(u8(), kReasons - 1)); }
+    Reason reason() { return static_cast<Reason>(check(u8(), kReasonCount - 1)); }
     Blocking blocking() { return static_cast<Blocking>(check(u8(), 2)); }
     std::string text(std::size_t longest) {
         const auto length = static_cast<std::size_t>(u16());
@@ -74,7 +74,7 @@
         return value;
     }
     CircuitNumber circuit() {
-        const int value = check(u16(), kMostCircuits);
+        const int value = check(u16(), kMaxCircuitsPerGroup);
         if (value < 1) fail();
         return value;
     }
@@ -149,12 +149,12 @@
 }
 
 void get(Reader& r, Seize& m) {
-    m.call = r.call(), m.circuits = r.list(kWidest);
+    m.call = r.call(), m.circuits = r.list(kMaxCircuitsPerCall);
     CallData& d = m.data;
-    d.call = r.text(kLongestName), d.service_class = r.text(kLongestName), d.number = r.text(kLongestName);
+    d.call = r.text(kMaxTextBytes), d.service_class = r.text(kMaxTextBytes), d.number = r.text(kMaxTextBytes);
     d.destination = r.number<std::int32_t>(), d.via = r.number<std::int32_t>();
     d.wait = Duration(r.number<std::int64_t>());
-    d.again = r.flag(), d.redial = r.flag(), d.description = r.text(kLongestText);
+    d.again = r.flag(), d.redial = r.flag(), d.description = r.text(kMaxDescriptionBytes);
     if (m.call == kNoCall || m.circuits.empty() || d.call.empty()) r.fail();
 }
 void get(Reader& r, Accept& m) {
@@ -164,7 +164,7 @@
     m.call = r.call(), m.reason = r.reason();
 }
 void get(Reader& r, Answer& m) {
-    m.call = r.call(), m.description = r.text(kLongestText);
+    m.call = r.call(), m.description = r.text(kMaxDescriptionBytes);
 }
 void get(Reader& r, Release& m) {
     m.call = r.call(), m.reason = r.reason();
@@ -173,29 +173,29 @@
     m.call = r.call();
 }
 void get(Reader& r, Reset& m) {
-    m.id = r.u32(), m.circuits = r.list(kMostCircuits);
+    m.id = r.u32(), m.circuits = r.list(kMaxCircuitsPerGroup);
 }
 void get(Reader& r, ResetDone& m) {
-    m.id = r.u32(), m.circuits = r.list(kMostCircuits);
+    m.id = r.u32(), m.circuits = r.list(kMaxCircuitsPerGroup);
 }
 void get(Reader& r, Block& m) {
-    m.done = r.flag(), m.blocking = r.blocking(), m.circuits = r.list(kMostCircuits);
+    m.done = r.flag(), m.blocking = r.blocking(), m.circuits = r.list(kMaxCircuitsPerGroup);
 }
 void get(Reader& r, Query& m) {
-    m.id = r.u32(), m.first = r.circuit(), m.count = r.check(r.u16(), kMostCircuits);
+    m.id = r.u32(), m.first = r.circuit(), m.count = r.check(r.u16(), kMaxCircuitsPerGroup);
 }
 void get(Reader& r, QueryResponse& m) {
     m.id = r.u32(), m.first = r.circuit();
-    for (int left = r.count(kMostCircuits, sizeof(CallRef)); r.ok() && left > 0; --left)
+    for (int left = r.count(kMaxCircuitsPerGroup, sizeof(CallRef)); r.ok() && left > 0; --left)
         m.calls.push_back(r.call());
 }
 void get(Reader& r, Claims& m) {
-    for (int left = r.count(kMostCircuits, 12); r.ok() && left > 0; --left) {
+    for (int left = r.count(kMaxCircuitsPerGroup, 12); r.ok() && left > 0; --left) {
         Claim& claim = m.calls.emplace_back();
-        claim.call = r.call(), claim.circuits = r.list(kWidest);
+        claim.call = r.call(), claim.circuits = r.list(kMaxCircuitsPerCall);
         if (claim.call == kNoCall || claim.circuits.empty()) r.fail();
     }
-    for (int left = r.count(kMostCircuits, 3); r.ok() && left > 0; --left) {
+    for (int left = r.count(kMaxCircuitsPerGroup, 3); r.ok() && left > 0; --left) {
         const CircuitNumber circuit = r.circuit();
         m.blocked.emplace_back(circuit, r.blocking());
     }
@@ -218,13 +218,16 @@
     Writer w;
     if (const auto* hello = std::get_if<Hello>(&frame)) {
         w.u8(kHello).u16(hello->version).u16(hello->point).u16(hello->far_point).number(hello->group);
-        w.u16(hello->circuits).number(hello->life).number(hello->far_life).number(hello->received);
+        w.u16(hello->circuits)
+            .number(hello->incarnation)
+            .number(hello->far_incarnation)
+            .number(hello->received);
     } else if (const auto* heartbeat = std::get_if<Heartbeat>(&frame)) {
         w.u8(kHeartbeat).number(heartbeat->received);
     } else if (const auto* bye = std::get_if<Bye>(&frame)) {
         w.u8(kBye).text(bye->reason);
     } else {
-        const auto& numbered = std::get<Numbered>(frame);
+        const auto& numbered = std::get<NumberedMessage>(frame);
         w.u8(kFirstMessage + static_cast<int>(numbered.message.index()));
         w.number(numbered.sequence).number(numbered.received);
         std::visit([&w](const auto& message) { put(w, message); }, numbered.message);
@@ -238,27 +241,27 @@
     return kNames[message.index()];
 }
 
-std::string write(const Frame& frame) {
+std::string encode(const Frame& frame) {
     const std::string body = body_of(frame);
     return Writer().number(static_cast<std::uint32_t>(body.size())).take() + body;
 }
 
-std::optional<Frame> read(std::string_view bytes) {
+std::optional<Frame> decode(std::string_view bytes) {
     Reader r(bytes);
     const int kind = r.u8();
     if (kind == kHello) {
         Hello m;
         m.version = r.number<std::uint16_t>(), m.point = r.u16(), m.far_point = r.u16(), m.group = r.u32();
-        m.circuits = r.u16(), m.life = r.u32(), m.far_life = r.u32(), m.received = r.u32();
+        m.circuits = r.u16(), m.incarnation = r.u32(), m.far_incarnation = r.u32(), m.received = r.u32();
         if (r.done()) return m;
     } else if (kind == kHeartbeat) {
         const Heartbeat m{r.u32()};
         if (r.done()) return m;
     } else if (kind == kBye) {
-        Bye m{r.text(kLongestName)};
+        Bye m{r.text(kMaxTextBytes)};
         if (r.done()) return m;
     } else if (kind >= kFirstMessage) {
-        Numbered m;
+        NumberedMessage m;
         m.sequence = r.u32(), m.received = r.u32();
         auto message = read_message(static_cast<std::size_t>(kind - kFirstMessage), r);
         if (!message) return std::nullopt;
@@ -268,19 +271,19 @@
     return std::nullopt;
 }
 
-FrameReader::Next FrameReader::next(Frame& frame) {
+FrameReader::Status FrameReader::next(Frame& frame) {
     const std::string_view rest = std::string_view(bytes_).substr(begin_);
     const auto drop = [this] { bytes_.erase(0, std::exchange(begin_, 0)); };
-    if (rest.size() < kFrameLength) return drop(), Next::more;
-    const std::size_t length = Reader(rest.substr(0, kFrameLength)).u32();
+    if (rest.size() < kFrameLengthBytes) return drop(), Status::incomplete;
+    const std::size_t length = Reader(rest.substr(0, kFrameLengthBytes)).u32();
     // Judged before there is room for what it announces.
-    if (length == 0 || length > kLongestFrame) return Next::malformed;
-    if (rest.size() - kFrameLength < length) return drop(), Next::more;
-    auto found = read(rest.substr(kFrameLength, length));
-    if (!found) return Next::malformed;
+    if (length == 0 || length > kMaxFrameBytes) return Status::malformed;
+    if (rest.size() - kFrameLengthBytes < length) return drop(), Status::incomplete;
+    auto found = decode(rest.substr(kFrameLengthBytes, length));
+    if (!found) return Status::malformed;
     frame = std::move(*found);
-    begin_ += kFrameLength + length;
-    return Next::frame;
+    begin_ += kFrameLengthBytes + length;
+    return Status::complete;
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/messages.hpp
+++ b/src/trunk/messages.hpp
@@ -64,7 +64,7 @@
 struct QueryResponse {  // circuit group query response (CQR)
     std::uint32_t id = 0;
     CircuitNumber first = 1;
-    std::vector<CallRef> calls{};  // by circuit, from the first on; kNoCall: idle; or kInBetween
+    std::vector<CallRef> calls{};  // by circuit, from the first on; kNoCall: idle; or kTransient
 };
 struct Claim {  // a call that stands, as one end has it
     CallRef call = kNoCall;
@@ -82,18 +82,18 @@
 
 // ---- Of the link itself ------------------------------------------------------------------------------
 
-constexpr std::uint16_t kVersion = 1;
+constexpr std::uint16_t kProtocolVersion = 1;
 
 struct Hello {
-    std::uint16_t version = kVersion;
+    std::uint16_t version = kProtocolVersion;
     PointCode point = 0, far_point = 0;
     std::uint32_t group = 0;
     int circuits = 0;
-    std::uint32_t life = 0;      // of the sender
-    std::uint32_t far_life = 0;  // of the far end, as the sender last knew it; nought: not at all
-    std::uint32_t received = 0;  // last number received in that life
+    std::uint32_t incarnation = 0;      // of the sender
+    std::uint32_t far_incarnation = 0;  // of the far end, as the sender last knew it; nought: not at all
+    std::uint32_t received = 0;         // last number received in that life
 };
-struct Numbered {
+struct NumberedMessage {
     std::uint32_t sequence = 0;  // from 1 on
     std::uint32_t received = 0;  // the far end's last, in order
     Message message{};
@@ -104,25 +104,26 @@
 struct Bye {  // why the sender closes
     std::string reason{};
 };
-using Frame = std::variant<Hello, Numbered, Heartbeat, Bye>;
+using Frame = std::variant<Hello, NumberedMessage, Heartbeat, Bye>;
 
-constexpr std::size_t kLongestFrame = 256 * 1024;  // bytes, without its length
-constexpr std::size_t kFrameLength = 4;
-constexpr std::size_t kLongestText = 32 * 1024;  // of a description; class and number are shorter by far
-constexpr std::size_t kLongestName = 255;
+constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // bytes, without its length
+constexpr std::size_t kFrameLengthBytes = 4;
+constexpr std::size_t kMaxDescriptionBytes =
+    32 * 1024;  // of a description; class and number are shorter by far
+constexpr std::size_t kMaxTextBytes = 255;
 
-std::string write(const Frame& frame);  // with its length
+std::string encode(const Frame& frame);  // with its length
 
 // The frame in `bytes`, which are without the length. Nothing: malformed. What it yields fills the bytes
 // exactly and keeps to the bounds of terms.hpp; lists of circuits rise and name none twice.
-std::optional<Frame> read(std::string_view bytes);
+std::optional<Frame> decode(std::string_view bytes);
 
 // Cuts the bytes of one connection into frames.
 class FrameReader {
    public:
-    void fed(std::string_view bytes) { bytes_.append(bytes); }
-    enum class Next { frame, more, malformed };
-    Next next(Frame& frame);
+    void append(std::string_view bytes) { bytes_.append(bytes); }
+    enum class Status { complete, incomplete, malformed };
+    Status next(Frame& frame);
 
    private:
     std::string bytes_;
--- a/src/trunk/desk.cpp
+++ b/src/trunk/operator_commands.cpp
@@ -1,4 +1,4 @@
-#include "trunk/desk.hpp"
+#include "trunk/operator_commands.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-std::optional<CircuitList> read_circuits(std::string_view text, int circuits) {
+std::optional<CircuitList> parse_circuits(std::string_view text, int circuits) {
     std::set<CircuitNumber> all;
     if (text == "all") {
         for (CircuitNumber n = 1; n <= circuits; ++n) all.insert(n);
@@ -58,8 +58,8 @@
     return CircuitList(all.begin(), all.end());
 }
 
-std::optional<OperatorReply> Desk::carry_out(std::string_view method, std::string_view path,
-                                             std::string_view query) {
+std::optional<OperatorReply> OperatorCommands::handle(std::string_view method, std::string_view path,
+                                                      std::string_view query) {
     constexpr std::string_view kRoot = "/circuits";
     if (!path.starts_with(kRoot)) return std::nullopt;
     path.remove_prefix(kRoot.size());
@@ -70,7 +70,7 @@
     const std::string_view group = path.substr(0, path.find('/'));
     path.remove_prefix(std::min(path.size(), group.size() + 1));
     const auto id = to_number<std::uint32_t>(group);
-    Front::Trunk* const trunk = id ? front_.find(*id) : nullptr;
+    TrunkManager::Trunk* const trunk = id ? front_.find(*id) : nullptr;
     if (!trunk) return OperatorReply{404, "there is no group " + std::string(group) + "\n"};
     if (path.empty()) {
         if (!reads) return OperatorReply{405, "GET"};
@@ -82,15 +82,16 @@
     return order(*trunk, path, query);
 }
 
-OperatorReply Desk::order(Front::Trunk& trunk, std::string_view what, std::string_view query) {
+OperatorReply OperatorCommands::order(TrunkManager::Trunk& trunk, std::string_view what,
+                                      std::string_view query) {
     if (what == "audit") {
-        if (!trunk.group().rules().audit.on) return {409, "audits of this group are off\n"};
+        if (!trunk.group().rules().audit.enabled) return {409, "audits of this group are off\n"};
         trunk.audit();
         return {200, trunk.group().in_service() ? "the audit is under way\n"
                                                 : "the audit begins when the link is up again\n"};
     }
     const auto circuits =
-        read_circuits(parameter(query, "circuits").value_or(""), trunk.group().circuits().size());
+        parse_circuits(parameter(query, "circuits").value_or(""), trunk.group().circuits().size());
     if (!circuits) {
         return {400, "'circuits' must be all, or numbers and ranges from 1 to " +
                          std::to_string(trunk.group().circuits().size()) + " such as 1-4,7\n"};
@@ -110,10 +111,10 @@
     return {200, "blocked\n"};
 }
 
-std::string Desk::list() const {
+std::string OperatorCommands::list() const {
     std::string text =
         "group exchange far-point link circuits free busy blocked-here blocked-there suspect\n";
-    for (const Front::Trunk* trunk : front_.trunks()) {
+    for (const TrunkManager::Trunk* trunk : front_.trunks()) {
         const Group& g = trunk->group();
         int here = 0, there = 0;
         for (CircuitNumber n = 1; n <= g.circuits().size(); ++n) {
@@ -121,23 +122,23 @@
             there += g.circuits().at(n).blocked_there != Blocking::none;
         }
         text += std::to_string(trunk->settings().id) + ' ' + trunk->settings().exchange + ' ' +
-                std::to_string(g.rules().ends.far) + ' ' +
-                (g.in_service()          ? "up"
-                 : trunk->session().up() ? "settling"
-                                         : "down") +
-                ' ' + std::to_string(g.circuits().size()) + ' ' + std::to_string(g.free()) + ' ' +
-                std::to_string(g.circuits().busy()) + ' ' + std::to_string(here) + ' ' +
-                std::to_string(there) + ' ' + std::to_string(g.audits().suspects()) + '\n';
+                std::to_string(g.rules().point_codes.far) + ' ' +
+                (g.in_service()             ? "up"
+                 : trunk->session().is_up() ? "settling"
+                                            : "down") +
+                ' ' + std::to_string(g.circuits().size()) + ' ' + std::to_string(g.free_circuits()) + ' ' +
+                std::to_string(g.circuits().busy_count()) + ' ' + std::to_string(here) + ' ' +
+                std::to_string(there) + ' ' + std::to_string(g.audits().suspect_count()) + '\n';
     }
     return text;
 }
 
-std::string Desk::list(const Front::Trunk& trunk, bool all) const {
+std::string OperatorCommands::list(const TrunkManager::Trunk& trunk, bool all) const {
     const Group& g = trunk.group();
     std::string text = "circuit state seconds direction call reference blocked-here blocked-there control\n";
     for (CircuitNumber n = 1; n <= g.circuits().size(); ++n) {
         const Circuit& c = g.circuits().at(n);
-        if (!all && c.free()) continue;
+        if (!all && c.is_free()) continue;
         const Leg* leg = g.leg(c.call);
         const auto age =
             leg ? std::chrono::duration_cast<std::chrono::seconds>(time_() - leg->since).count() : 0;
@@ -146,14 +147,14 @@
                      : std::string("- - -")) +
                 ' ' + (c.call == kNoCall ? std::string("-") : in_hex(c.call)) + ' ' +
                 name_of(c.blocked_here) + ' ' + name_of(c.blocked_there) +
-                (controls(g.rules().ends, n) ? " own\n" : " far\n");
+                (controls(g.rules().point_codes, n) ? " own\n" : " far\n");
     }
     return text;
 }
 
-std::string Desk::figures() const {
+std::string OperatorCommands::metrics() const {
     std::string text;
-    for (const Front::Trunk* trunk : front_.trunks()) {
+    for (const TrunkManager::Trunk* trunk : front_.trunks()) {
         const std::string of = "app.trunk." + std::to_string(trunk->settings().id) + '.';
         const auto line = [&](const char* name, std::uint64_t value, char kind) {
             text += of + name + ':' + std::to_string(value) + '|' + kind + '\n';
@@ -162,17 +163,19 @@
         const GroupCounts& c = g.counts();
         line("up", g.in_service(), 'g');
         line("circuits", static_cast<std::uint64_t>(g.circuits().size()), 'g');
-        line("free", static_cast<std::uint64_t>(g.free()), 'g');
-        line("busy", static_cast<std::uint64_t>(g.circuits().busy()), 'g');
-        line("suspect", static_cast<std::uint64_t>(g.audits().suspects()), 'g');
-        line("seizures", c.seizures, 'c'), line("taken", c.taken, 'c'), line("rejected", c.rejected, 'c');
+        line("free", static_cast<std::uint64_t>(g.free_circuits()), 'g');
+        line("busy", static_cast<std::uint64_t>(g.circuits().busy_count()), 'g');
+        line("suspect", static_cast<std::uint64_t>(g.audits().suspect_count()), 'g');
+        line("seizures", c.seizures, 'c'), line("taken", c.seizures_accepted, 'c'),
+            line("rejected", c.rejected, 'c');
         line("glares", c.glares, 'c'), line("glares_lost", c.glares_lost, 'c');
-        line("no_circuit", c.no_circuit, 'c'), line("resets", c.resets, 'c'), line("guards", c.guards, 'c');
+        line("no_circuit", c.no_circuit, 'c'), line("resets", c.resets, 'c'),
+            line("guards", c.release_timeouts, 'c');
         line("audits", g.audits().asked(), 'c'), line("audit_freed", c.audit_freed, 'c');
         line("recovered", c.recovered, 'c'), line("not_recovered", c.not_recovered, 'c');
         line("contradictions", c.contradictions, 'c');
         const LinkCounts& l = trunk->session().counts();
-        line("link.resumed", l.resumed, 'c'), line("link.anew", l.anew, 'c'),
+        line("link.resumed", l.resumed, 'c'), line("link.anew", l.restarted, 'c'),
             line("link.repeated", l.repeated, 'c');
         line("link.malformed", l.malformed, 'c'), line("link.mismatched", l.mismatched, 'c');
     }
--- a/src/trunk/desk.hpp
+++ b/src/trunk/operator_commands.hpp
@@ -13,31 +13,31 @@
 #include <string_view>
 
 #include "protocol/operators.hpp"
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::trunk {
 
 // `all`, or numbers and ranges from 1 to `circuits` such as `1-4,7`. Nothing: it is not of that form.
-std::optional<CircuitList> read_circuits(std::string_view text, int circuits);
+std::optional<CircuitList> parse_circuits(std::string_view text, int circuits);
 
-class Desk {
+class OperatorCommands {
    public:
-    using Time = Front::Time;
-    Desk(Front& front, Time time) : front_(front), time_(std::move(time)) {}
+    using Clock = TrunkManager::Clock;
+    OperatorCommands(TrunkManager& front, Clock time) : front_(front), time_(std::move(time)) {}
 
     // Nothing: no such path.
-    std::optional<protocol::OperatorReply> carry_out(std::string_view method, std::string_view path,
-                                                     std::string_view query);
+    std::optional<protocol::OperatorReply> handle(std::string_view method, std::string_view path,
+                                                  std::string_view query);
     // Lines for /metrics: name:value|kind.
-    std::string figures() const;
+    std::string metrics() const;
 
    private:
     std::string list() const;
-    std::string list(const Front::Trunk& trunk, bool all) const;
-    protocol::OperatorReply order(Front::Trunk& trunk, std::string_view what, std::string_view query);
+    std::string list(const TrunkManager::Trunk& trunk, bool all) const;
+    protocol::OperatorReply order(TrunkManager::Trunk& trunk, std::string_view what, std::string_view query);
 
-    Front& front_;
-    Time time_;
+    TrunkManager& front_;
+    Clock time_;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/recovery.cpp
+++ b/src/trunk/recovery.cpp
@@ -19,7 +19,7 @@
     return result;
 }
 
-const char* wrong_with(const Claims& claims, int circuits) {
+const char* find_error(const Claims& claims, int circuits) {
     std::set<CallRef> calls;
     std::set<CircuitNumber> taken;
     for (const Claim& claim : claims.calls) {
@@ -34,7 +34,7 @@
     return exist ? nullptr : "a blocked circuit that does not exist";
 }
 
-std::vector<Claim> claimable(const std::vector<Claim>& remembered, int circuits) {
+std::vector<Claim> select_claimable(const std::vector<Claim>& remembered, int circuits) {
     std::map<CircuitNumber, int> claims;
     std::map<CallRef, int> calls;
     for (const Claim& claim : remembered) {
--- a/src/trunk/recovery.hpp
+++ b/src/trunk/recovery.hpp
@@ -21,11 +21,11 @@
 
 // What is wrong with claims of the far end, which no honest end sends: a circuit that does not exist, one
 // claimed twice, a call claimed twice. Null: nothing.
-const char* wrong_with(const Claims& claims, int circuits);
+const char* find_error(const Claims& claims, int circuits);
 
 // The calls that a ledger with one place a circuit still holds whole: on every circuit of theirs.
 template <class Call>
-std::vector<Call> whole(const std::map<CircuitNumber, Call>& places) {
+std::vector<Call> complete_calls(const std::map<CircuitNumber, Call>& places) {
     std::vector<Call> found;
     for (const auto& [circuit, call] : places) {
         const CircuitList& own = call.claim.circuits;
@@ -40,6 +40,6 @@
 
 // The calls of a ledger that may be claimed: each circuit once and within the group's size of now. A group
 // that has shrunk, or a ledger that contradicts itself, loses the calls concerned.
-std::vector<Claim> claimable(const std::vector<Claim>& remembered, int circuits);
+std::vector<Claim> select_claimable(const std::vector<Claim>& remembered, int circuits);
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/selection.hpp
+++ b/src/trunk/selection.hpp
@@ -14,7 +14,7 @@
 
 // `width` free circuits, rising; empty: there are not as many, and none is to be seized. `lately` is skipped
 // while others are free: circuits on which this end has just lost a glare, where the far end is at work.
-CircuitList hunt(const Circuits& circuits, const Ends& ends, int width, Hunting hunting,
+CircuitList hunt(const Circuits& circuits, const PointCodes& point_codes, int width, Hunting hunting,
                  const CircuitList& lately = {});
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/session.cpp
+++ b/src/trunk/session.cpp
@@ -5,20 +5,20 @@
 
 namespace nettlestall::trunk {
 
-Session::Session(const LinkIdentity& identity, std::uint32_t life, LinkEvents& events)
-    : identity_(identity), life_(life), events_(events) {}
+Session::Session(const LinkIdentity& identity, std::uint32_t incarnation, LinkEvents& events)
+    : identity_(identity), incarnation_(incarnation), events_(events) {}
 
 void Session::connected() {
     connected_ = true;
     up_ = false;
     reader_ = {};
-    output_ = write(Hello{.point = identity_.ends.own,
-                          .far_point = identity_.ends.far,
-                          .group = identity_.group,
-                          .circuits = identity_.circuits,
-                          .life = life_,
-                          .far_life = far_life_,
-                          .received = received_});
+    output_ = encode(Hello{.point = identity_.point_codes.own,
+                           .far_point = identity_.point_codes.far,
+                           .group = identity_.group,
+                           .circuits = identity_.circuits,
+                           .incarnation = incarnation_,
+                           .far_incarnation = far_incarnation_,
+                           .received = received_});
 }
 
 void Session::disconnected() {
@@ -26,9 +26,9 @@
     output_.clear();
 }
 
-void Session::renew() {
-    ++life_;
-    far_life_ = 0;
+void Session::begin_new_incarnation() {
+    ++incarnation_;
+    far_incarnation_ = 0;
     start_anew();
 }
 
@@ -39,21 +39,21 @@
 }
 
 bool Session::refuse(std::string why, bool tell) {
-    complaint_ = std::move(why);
-    if (tell) output_ += write(Bye{complaint_.substr(0, kLongestName)});
+    close_reason_ = std::move(why);
+    if (tell) output_ += encode(Bye{close_reason_.substr(0, kMaxTextBytes)});
     return false;
 }
 
-bool Session::fed(std::string_view bytes) {
-    reader_.fed(bytes);
+bool Session::receive_bytes(std::string_view bytes) {
+    reader_.append(bytes);
     for (Frame frame;;) {
         switch (reader_.next(frame)) {
-            case FrameReader::Next::more:
+            case FrameReader::Status::incomplete:
                 return true;
-            case FrameReader::Next::malformed:
+            case FrameReader::Status::malformed:
                 ++counts_.malformed;
                 return refuse("malformed bytes", true);
-            case FrameReader::Next::frame:
+            case FrameReader::Status::complete:
                 break;
         }
         if (const auto* bye = std::get_if<Bye>(&frame))
@@ -66,18 +66,18 @@
         if (!up_) return ++counts_.malformed, refuse("a message before the hello", true);
         const bool sound = std::holds_alternative<Heartbeat>(frame)
                                ? confirm(std::get<Heartbeat>(frame).received)
-                               : take(std::get<Numbered>(frame));
+                               : take(std::get<NumberedMessage>(frame));
         if (!sound) return false;
         if (!connected_) return true;  // what it brought about has closed the connection
     }
 }
 
-std::string Session::wrong_with(const Hello& hello) const {
+std::string Session::find_mismatch(const Hello& hello) const {
     const std::tuple<const char*, std::int64_t, std::int64_t> pairs[] = {
-        {"version", hello.version, kVersion},
+        {"version", hello.version, kProtocolVersion},
         {"group", hello.group, identity_.group},
-        {"point code of the far end", hello.point, identity_.ends.far},
-        {"point code of this end", hello.far_point, identity_.ends.own},
+        {"point code of the far end", hello.point, identity_.point_codes.far},
+        {"point code of this end", hello.far_point, identity_.point_codes.own},
         {"number of circuits", hello.circuits, identity_.circuits},
     };
     for (const auto& [what, theirs, ours] : pairs)
@@ -90,19 +90,20 @@
 // Each end sees both hellos, so both come to the same answer. Guards against messages of another life: a
 // release of a call before a restart must not meet the call that has its circuits now.
 bool Session::greet(const Hello& hello) {
-    if (std::string wrong = wrong_with(hello); !wrong.empty()) {
+    if (std::string wrong = find_mismatch(hello); !wrong.empty()) {
         ++counts_.mismatched;
         return refuse(std::move(wrong), true);
     }
-    const bool resumed = far_life_ != 0 && hello.life == far_life_ && hello.far_life == life_;
+    const bool resumed = far_incarnation_ != 0 && hello.incarnation == far_incarnation_ &&
+                         hello.far_incarnation == incarnation_;
     if (resumed && !confirm(hello.received)) {
-        renew();  // counts that don't fit: nothing that was sent can be relied on
+        begin_new_incarnation();  // counts that don't fit: nothing that was sent can be relied on
         return false;
     }
     if (!resumed) start_anew();
-    far_life_ = hello.life;
+    far_incarnation_ = hello.incarnation;
     up_ = true;
-    ++(resumed ? counts_.resumed : counts_.anew);
+    ++(resumed ? counts_.resumed : counts_.restarted);
     std::uint32_t sequence = confirmed_;
     for (const Unconfirmed& u : unconfirmed_) {
         ++counts_.sent_again;
@@ -124,7 +125,7 @@
     return true;
 }
 
-bool Session::take(const Numbered& numbered) {
+bool Session::take(const NumberedMessage& numbered) {
     if (!confirm(numbered.received)) return false;
     if (numbered.sequence <= received_) {
         ++counts_.repeated;
@@ -138,14 +139,14 @@
     if (const char* wrong = events_.received(numbered.message)) {
         ++counts_.malformed;
         // It would come again for ever: whatever this end and the far end make of the link, they start anew.
-        renew();
+        begin_new_incarnation();
         return refuse(std::string(wrong), true);
     }
     return true;
 }
 
 void Session::write_numbered(const Message& message, std::uint32_t sequence) {
-    output_ += write(Numbered{sequence, received_, message});
+    output_ += encode(NumberedMessage{sequence, received_, message});
 }
 
 void Session::send(const Message& message) {
@@ -156,21 +157,21 @@
         write_numbered(message, sequence);
         size = output_.size() - before;
     } else {
-        size = write(Numbered{sequence, received_, message}).size();
+        size = encode(NumberedMessage{sequence, received_, message}).size();
     }
     ++counts_.sent;
     unconfirmed_.push_back({message, size});
     unconfirmed_size_ += size;
     // Guards the memory against a far end that confirms nothing.
-    if (unconfirmed_size_ > kMostUnconfirmed) {
-        complaint_ = "too much that the far end has not confirmed";
-        renew();
+    if (unconfirmed_size_ > kMaxUnconfirmedBytes) {
+        close_reason_ = "too much that the far end has not confirmed";
+        begin_new_incarnation();
         disconnected();
     }
 }
 
-void Session::beat() {
-    if (up_) output_ += write(Heartbeat{received_});
+void Session::send_heartbeat() {
+    if (up_) output_ += encode(Heartbeat{received_});
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/session.hpp
+++ b/src/trunk/session.hpp
@@ -1,6 +1,6 @@
 // One end of a group's link over many connections: greets, numbers its messages, acknowledges, sends again
 // what a broken connection lost, and starts anew where that is impossible. Fed bytes, knows no socket and no
-// clock; whoever drives it tells it of connections and calls beat() every second.
+// clock; whoever drives it tells it of connections and calls send_heartbeat() every second.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,7 @@
 namespace nettlestall::trunk {
 
 struct LinkIdentity {
-    Ends ends{};
+    PointCodes point_codes{};
     std::uint32_t group = 0;
     int circuits = 0;
 };
@@ -31,50 +31,52 @@
 };
 
 struct LinkCounts {
-    std::uint64_t sent = 0, received = 0, repeated = 0, sent_again = 0, resumed = 0, anew = 0, malformed = 0,
-                  mismatched = 0;
+    std::uint64_t sent = 0, received = 0, repeated = 0, sent_again = 0, resumed = 0, restarted = 0,
+                  malformed = 0, mismatched = 0;
 };
 
 class Session {
    public:
     // Bytes of messages that the far end has not confirmed; beyond it the link starts anew.
-    static constexpr std::size_t kMostUnconfirmed = 4 * 1024 * 1024;
+    static constexpr std::size_t kMaxUnconfirmedBytes = 4 * 1024 * 1024;
 
-    Session(const LinkIdentity& identity, std::uint32_t life, LinkEvents& events);
+    Session(const LinkIdentity& identity, std::uint32_t incarnation, LinkEvents& events);
 
-    void begin(std::uint32_t life) { life_ = life; }  // another one, before the first connection
-    void connected();                                 // a connection is there: our hello goes out
-    void disconnected();                              // the connection has gone, or is about to be closed
+    void set_incarnation(std::uint32_t incarnation) {
+        incarnation_ = incarnation;
+    }                     // another one, before the first connection
+    void connected();     // a connection is there: our hello goes out
+    void disconnected();  // the connection has gone, or is about to be closed
     // What was read. False: the connection is to be closed, once what is in output() has been written.
-    bool fed(std::string_view bytes);
+    bool receive_bytes(std::string_view bytes);
     void send(const Message& message);  // now, or on the next connection
-    void beat();                        // confirms, so that the far end may forget, and shows that we live
-    void renew();                       // the next connection starts anew
+    void send_heartbeat();              // confirms, so that the far end may forget, and shows that we live
+    void begin_new_incarnation();       // the next connection starts anew
 
     // How a far end's hello differs from what is agreed; empty: it does not.
-    std::string wrong_with(const Hello& hello) const;
+    std::string find_mismatch(const Hello& hello) const;
 
-    bool connected_now() const { return connected_; }
-    bool up() const { return up_; }
+    bool is_connected() const { return connected_; }
+    bool is_up() const { return up_; }
     std::string take_output() { return std::exchange(output_, {}); }
     bool has_output() const { return !output_.empty(); }
     const LinkCounts& counts() const { return counts_; }
-    const std::string& complaint() const { return complaint_; }  // why a connection was closed last
-    std::uint32_t life() const { return life_; }
+    const std::string& close_reason() const { return close_reason_; }  // why a connection was closed last
+    std::uint32_t incarnation() const { return incarnation_; }
 
    private:
     bool greet(const Hello& hello);
     bool confirm(std::uint32_t received);
-    bool take(const Numbered& numbered);
+    bool take(const NumberedMessage& numbered);
     bool refuse(std::string why, bool tell);
     void write_numbered(const Message& message, std::uint32_t sequence);
     void start_anew();
 
     LinkIdentity identity_;
-    std::uint32_t life_, far_life_ = 0;
+    std::uint32_t incarnation_, far_incarnation_ = 0;
     LinkEvents& events_;
     FrameReader reader_;
-    std::string output_, complaint_;
+    std::string output_, close_reason_;
     LinkCounts counts_;
     bool connected_ = false, up_ = false;
     struct Unconfirmed {
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -13,21 +13,21 @@
 using CircuitNumber = int;  // within its group, from 1 on
 using CircuitList = std::vector<CircuitNumber>;
 
-constexpr PointCode kHighestPoint = 16383;
-constexpr int kMostCircuits = 2048;  // of one group: a claim of all of them is one message
-constexpr int kWidest = 64;          // circuits of one call
+constexpr PointCode kMaxPointCode = 16383;
+constexpr int kMaxCircuitsPerGroup = 2048;  // of one group: a claim of all of them is one message
+constexpr int kMaxCircuitsPerCall = 64;     // circuits of one call
 
 // One call on a group, named by the end that seized. Both ends and both lives of a restarted end make
 // different ones: the top bit tells the end with the higher point code, 31 bits its life, 32 count.
 using CallRef = std::uint64_t;
 constexpr CallRef kNoCall = 0;
-constexpr CallRef kInBetween =
+constexpr CallRef kTransient =
     ~CallRef{0};  // in a query response: the circuit awaits a word of the other end
 
 // Of one end of a group.
-struct Ends {
+struct PointCodes {
     PointCode own = 1, far = 2;
-    bool higher() const { return own > far; }
+    bool own_is_higher() const { return own > far; }
 };
 
 // Why a seizure, or a call, comes to nothing or to its end.
@@ -42,7 +42,7 @@
     link_lost = 7,  // nobody knows what became of it
     reset = 8,      // the circuit was reset (Q.764, 2.9.3)
 };
-constexpr int kReasons = 9;
+constexpr int kReasonCount = 9;
 
 // What a set-up carries from hub to hub; the values are passed on as they came.
 struct CallData {
--- a/src/trunk/front.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -1,4 +1,4 @@
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,8 +9,8 @@
 constexpr Duration kShortestWait = std::chrono::milliseconds(1);
 
 // What an end of a set-up of ours means to the call table.
-std::pair<Outcome, Cause> meaning(Reason reason, bool stood, bool direct) {
-    if (stood) return {reason == Reason::normal ? Outcome::ended : Outcome::reset, Cause::none};
+std::pair<Outcome, Cause> meaning(Reason reason, bool was_answered, bool direct) {
+    if (was_answered) return {reason == Reason::normal ? Outcome::ended : Outcome::reset, Cause::none};
     switch (reason) {
         case Reason::glare:
         case Reason::not_idle:
@@ -47,59 +47,59 @@
 
 // ---- One group ---------------------------------------------------------------------------------------
 
-Front::Trunk::Trunk(Front& front, const GroupSettings& settings)
+TrunkManager::Trunk::Trunk(TrunkManager& front, const GroupSettings& settings)
     : front_(front),
       settings_(settings),
       origin_("trunk:" + std::to_string(settings.id)),
       group_(settings.rules, 0),
-      session_({settings.rules.ends, settings.id, settings.rules.circuits}, 0, *this) {}
+      session_({settings.rules.point_codes, settings.id, settings.rules.circuits}, 0, *this) {}
 
-CallRef Front::Trunk::ref_of(const CallId& call) const {
+CallRef TrunkManager::Trunk::ref_of(const CallId& call) const {
     for (const auto* of : {&outgoing_, &incoming_})
         if (const auto at = of->find(call); at != of->end()) return at->second;
     return kNoCall;
 }
 
-void Front::Trunk::carry_out(Effects effects) {
+void TrunkManager::Trunk::carry_out(Effects effects) {
     for (const Effect& effect : effects) {
         if (const auto* send = std::get_if<Send>(&effect)) {
             session_.send(send->message);
-        } else if (const auto* stands = std::get_if<Remember>(&effect)) {
+        } else if (const auto* stands = std::get_if<StoreCall>(&effect)) {
             if (!front_.ledger_) continue;
             LedgerCall call{settings_.id, stands->claim, stands->call, stands->outgoing, {}, {}};
             const ExchangeId* at = front_.table_.whereabouts(stands->call);
-            if (!stands->outgoing && at) call.at = *at;
+            if (!stands->outgoing && at) call.exchange = *at;
             if (stands->outgoing) call.origin = front_.table_.origin_of(stands->call);
-            front_.ledger_->remember(call);
-        } else if (const auto* over = std::get_if<Forget>(&effect)) {
-            if (front_.ledger_) front_.ledger_->forget(settings_.id, over->claim);
-        } else if (const auto* blocked = std::get_if<RememberBlocked>(&effect)) {
+            front_.ledger_->store_call(call);
+        } else if (const auto* over = std::get_if<RemoveCall>(&effect)) {
+            if (front_.ledger_) front_.ledger_->remove_call(settings_.id, over->claim);
+        } else if (const auto* blocked = std::get_if<StoreBlocking>(&effect)) {
             if (front_.ledger_)
-                front_.ledger_->remember_blocked(settings_.id, blocked->circuit, blocked->blocking);
-        } else if (std::holds_alternative<Renew>(effect)) {
-            session_.renew();
+                front_.ledger_->store_blocking(settings_.id, blocked->circuit, blocked->blocking);
+        } else if (std::holds_alternative<RestartLink>(effect)) {
+            session_.begin_new_incarnation();
         }
     }
     for (const Effect& effect : effects) {
         if (const auto* offered = std::get_if<Offered>(&effect)) tell(*offered);
         if (const auto* answered = std::get_if<Answered>(&effect)) tell(*answered);
         if (const auto* ended = std::get_if<Ended>(&effect)) tell(*ended);
-        if (const auto* freed = std::get_if<Freed>(&effect); freed && front_.freed_)
+        if (const auto* freed = std::get_if<FreedByAudit>(&effect); freed && front_.freed_)
             front_.freed_(*this, *freed);
     }
     // Too much was unconfirmed: the session has given its connection up.
-    if (group_.in_service() && !session_.connected_now()) {
+    if (group_.in_service() && !session_.is_connected()) {
         Effects down;
         group_.link_down(front_.time_(), down);
         return carry_out(std::move(down));
     }
     report();
     if (session_.has_output() && front_.output_) front_.output_(*this);
-    if (front_.earlier_) front_.earlier_(group_.next_due());
+    if (front_.earlier_) front_.earlier_(group_.next_timer());
 }
 
-void Front::Trunk::report() {
-    const int free = group_.free();
+void TrunkManager::Trunk::report() {
+    const int free = group_.free_circuits();
     if (free == told_free_ || (told_free_ < 0 && !group_.in_service())) return;
     told_free_ = free;
     LoadReport load;
@@ -108,7 +108,7 @@
     front_.switches_.group_state(settings_.exchange, load);
 }
 
-void Front::Trunk::tell(const Offered& effect) {
+void TrunkManager::Trunk::tell(const Offered& effect) {
     if (!group_.leg(effect.ref)) return;
     const CallData& data = effect.data;
     // The far end has begun it again, under another reference: what it began before is over there.
@@ -137,13 +137,13 @@
     front_.callers_.offered(*this, offer);
 }
 
-void Front::Trunk::tell(const Answered& effect) {
+void TrunkManager::Trunk::tell(const Answered& effect) {
     const auto at = outgoing_.find(effect.call);
     if (at == outgoing_.end() || at->second != effect.ref) return;
     front_.switches_.stands(settings_.exchange, effect.call, effect.description);
 }
 
-void Front::Trunk::tell(const Ended& effect) {
+void TrunkManager::Trunk::tell(const Ended& effect) {
     auto& of = effect.outgoing ? outgoing_ : incoming_;
     const auto at = of.find(effect.call);
     if (at == of.end() || at->second != effect.ref) return;
@@ -151,11 +151,11 @@
     if (!effect.outgoing) return front_.callers_.released(*this, effect.call);
     if (effect.reason == Reason::glare && front_.glare_lost_) front_.glare_lost_(*this, effect.call);
     // Of two hubs the far one knows best whether it was the call's destination; here any refusal is its own.
-    const auto [outcome, cause] = meaning(effect.reason, effect.stood, true);
+    const auto [outcome, cause] = meaning(effect.reason, effect.was_answered, true);
     front_.switches_.ended(settings_.exchange, effect.call, outcome, cause, {});
 }
 
-void Front::Trunk::set_up(const Forward& forward) {
+void TrunkManager::Trunk::set_up(const Forward& forward) {
     CallData data{.call = forward.call,
                   .service_class = forward.service_class,
                   .number = forward.number,
@@ -174,7 +174,7 @@
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::let_go(const CallId& call, Reason reason) {
+void TrunkManager::Trunk::let_go(const CallId& call, Reason reason) {
     const auto at = outgoing_.find(call);
     if (at == outgoing_.end()) return;
     const CallRef ref = at->second;
@@ -184,7 +184,7 @@
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::answer(const CallId& call, Description description) {
+void TrunkManager::Trunk::answer(const CallId& call, Description description) {
     const auto at = incoming_.find(call);
     if (at == incoming_.end()) return;
     Effects effects;
@@ -192,7 +192,7 @@
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::release(const CallId& call, Ending ending) {
+void TrunkManager::Trunk::release(const CallId& call, Ending ending) {
     const auto at = incoming_.find(call);
     if (at == incoming_.end()) return;
     const CallRef ref = at->second;
@@ -204,56 +204,56 @@
 
 // ---- Its link ----------------------------------------------------------------------------------------
 
-void Front::Trunk::connected() {
+void TrunkManager::Trunk::connected() {
     session_.connected();
     if (front_.output_) front_.output_(*this);
 }
 
-bool Front::Trunk::fed(std::string_view bytes) {
-    const bool sound = session_.fed(bytes);
+bool TrunkManager::Trunk::receive_bytes(std::string_view bytes) {
+    const bool sound = session_.receive_bytes(bytes);
     if (session_.has_output() && front_.output_) front_.output_(*this);
-    return sound && session_.connected_now();
+    return sound && session_.is_connected();
 }
 
-void Front::Trunk::disconnected() {
+void TrunkManager::Trunk::disconnected() {
     session_.disconnected();
     Effects effects;
     group_.link_down(front_.time_(), effects);
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::beat() {
-    session_.beat();
+void TrunkManager::Trunk::send_heartbeat() {
+    session_.send_heartbeat();
     if (session_.has_output() && front_.output_) front_.output_(*this);
 }
 
-void Front::Trunk::link_up(bool resumed) {
+void TrunkManager::Trunk::link_up(bool resumed) {
     Effects effects;
     group_.link_up(front_.time_(), resumed, effects);
     carry_out(std::move(effects));
 }
 
-const char* Front::Trunk::received(const Message& message) {
+const char* TrunkManager::Trunk::received(const Message& message) {
     Effects effects;
     const char* wrong = group_.receive(front_.time_(), message, effects);
     carry_out(std::move(effects));
     return wrong;
 }
 
-void Front::Trunk::run_due() {
+void TrunkManager::Trunk::run_timers() {
     const Instant now = front_.time_();
     Effects effects;
-    group_.run_due(now, effects);
+    group_.run_timers(now, effects);
     if (!effects.empty()) carry_out(std::move(effects));
     const AuditRules& audit = settings_.rules.audit;
-    if (audit.on && now - swept_ >= audit.every) {
+    if (audit.enabled && now - swept_ >= audit.interval) {
         swept_ = now;
         sweep();
     }
 }
 
 // Guards against what an audit of the far end can't see: this end's own table and group disagree.
-void Front::Trunk::sweep() {
+void TrunkManager::Trunk::sweep() {
     std::vector<std::pair<CallId, CallRef>> orphans;
     for (const auto& [ref, leg] : group_.legs()) {
         if (leg.state == LegState::yielding || leg.state == LegState::releasing) continue;
@@ -290,7 +290,7 @@
     }
 }
 
-bool Front::Trunk::restore(const LedgerCall& call) {
+bool TrunkManager::Trunk::restore(const LedgerCall& call) {
     if (!group_.restore(call.claim, call.call, call.outgoing, front_.time_())) return false;
     (call.outgoing ? outgoing_ : incoming_)[call.call] = call.claim.call;
     return true;
@@ -298,73 +298,74 @@
 
 // ---- Operators ---------------------------------------------------------------------------------------
 
-void Front::Trunk::block(const CircuitList& circuits, Blocking blocking) {
+void TrunkManager::Trunk::block(const CircuitList& circuits, Blocking blocking) {
     Effects effects;
     group_.block(front_.time_(), circuits, blocking, effects);
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::reset(const CircuitList& circuits) {
+void TrunkManager::Trunk::reset(const CircuitList& circuits) {
     Effects effects;
     group_.reset(front_.time_(), circuits, Reason::reset, effects);
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::audit() {
+void TrunkManager::Trunk::audit() {
     group_.audit_now(front_.time_());
     swept_ = {};
-    run_due();
-    if (front_.earlier_) front_.earlier_(group_.next_due());
+    run_timers();
+    if (front_.earlier_) front_.earlier_(group_.next_timer());
 }
 
-void Front::Trunk::take_times(const GroupRules& rules) {
+void TrunkManager::Trunk::update_timers(const GroupRules& rules) {
     settings_.rules = rules;
-    group_.take_times(rules);
-    if (front_.earlier_) front_.earlier_(group_.next_due());
+    group_.update_timers(rules);
+    if (front_.earlier_) front_.earlier_(group_.next_timer());
 }
 
-void Front::Trunk::lose_memory_of(CallRef ref) {
-    group_.lose_memory_of(ref);
+void TrunkManager::Trunk::inject_memory_loss(CallRef ref) {
+    group_.inject_memory_loss(ref);
     report();
 }
 
 // ---- All groups --------------------------------------------------------------------------------------
 
-Front::Front(int own_number, Time time, CallerEvents& callers, SwitchEvents& switches, const CallTable& table)
+TrunkManager::TrunkManager(int own_number, Clock time, CallerEvents& callers, SwitchEvents& switches,
+                           const CallTable& table)
     : own_number_(own_number),
       time_(std::move(time)),
       callers_(callers),
       switches_(switches),
       table_(table) {}
 
-void Front::begin(std::uint32_t life, Ledger* ledger) {
+void TrunkManager::begin(std::uint32_t incarnation, Ledger* ledger) {
     ledger_ = ledger;
     for (const auto& [id, trunk] : trunks_) {
-        trunk->group_.begin(life);
-        trunk->session_.begin(life);
+        trunk->group_.set_incarnation(incarnation);
+        trunk->session_.set_incarnation(incarnation);
     }
 }
 
-Front::~Front() = default;
+TrunkManager::~TrunkManager() = default;
 
-Front::Trunk& Front::add(const GroupSettings& settings) {
+TrunkManager::Trunk& TrunkManager::add(const GroupSettings& settings) {
     auto& trunk = trunks_[settings.id] = std::make_unique<Trunk>(*this, settings);
     by_exchange_[settings.exchange] = trunk.get();
     return *trunk;
 }
 
-std::vector<Front::Trunk*> Front::trunks() const {
+std::vector<TrunkManager::Trunk*> TrunkManager::trunks() const {
     std::vector<Trunk*> all;
     for (const auto& [id, trunk] : trunks_) all.push_back(trunk.get());
     return all;
 }
 
-Front::Trunk* Front::find(std::uint32_t group) const {
+TrunkManager::Trunk* TrunkManager::find(std::uint32_t group) const {
     const auto at = trunks_.find(group);
     return at == trunks_.end() ? nullptr : at->second.get();
 }
 
-ListEvent Front::with_hubs(ListEvent event) const {
+ListEvent TrunkManager::with_far_hubs(ListEvent event) const {
     std::erase_if(event.entries, [this](const ListedExchange& listed) {
         return by_exchange_.count(listed.entry.exchange) > 0 ||
                std::any_of(lines_.begin(), lines_.end(),
@@ -381,14 +382,14 @@
     return event;
 }
 
-std::size_t Front::restore(const std::vector<LedgerCall>& calls,
-                           const std::function<void(const LedgerCall&, CallerLink*)>& tell_table) {
+std::size_t TrunkManager::restore(const std::vector<LedgerCall>& calls,
+                                  const std::function<void(const LedgerCall&, CallerLink*)>& tell_table) {
     std::size_t restored = 0;
     for (const auto& [id, trunk] : trunks_) {
         std::vector<Claim> remembered;
         for (const LedgerCall& call : calls)
             if (call.group == id) remembered.push_back(call.claim);
-        const std::vector<Claim> sound = claimable(remembered, trunk->settings_.rules.circuits);
+        const std::vector<Claim> sound = select_claimable(remembered, trunk->settings_.rules.circuits);
         for (const LedgerCall& call : calls) {
             if (call.group != id || std::find(sound.begin(), sound.end(), call.claim) == sound.end())
                 continue;
@@ -397,48 +398,48 @@
             tell_table(call, call.outgoing ? nullptr : static_cast<CallerLink*>(trunk.get()));
         }
     }
-    if (earlier_) earlier_(next_due());
+    if (earlier_) earlier_(next_timer());
     return restored;
 }
 
-void Front::restore_blocked(std::uint32_t group, CircuitNumber circuit, Blocking blocking) {
+void TrunkManager::restore_blocked(std::uint32_t group, CircuitNumber circuit, Blocking blocking) {
     if (Trunk* const trunk = find(group)) trunk->group_.restore(circuit, blocking);
 }
 
-void Front::set_up(const ExchangeId& at, const Forward& forward) {
+void TrunkManager::set_up(const ExchangeId& at, const Forward& forward) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end()) trunk->second->set_up(forward);
 }
 
-void Front::give_up(const ExchangeId& at, const CallId& call) {
+void TrunkManager::give_up(const ExchangeId& at, const CallId& call) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
         trunk->second->let_go(call, Reason::normal);
 }
 
-void Front::release(const ExchangeId& at, const CallId& call) {
+void TrunkManager::release(const ExchangeId& at, const CallId& call) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
         trunk->second->let_go(call, Reason::normal);
 }
 
-void Front::add_lines(const ListedExchange& lines) {
+void TrunkManager::add_subscriber_lines(const ListedExchange& lines) {
     lines_.push_back(lines);
     lines_.back().entry.lines_only = true;
 }
 
-void Front::retire() {
-    retired_ = true;
+void TrunkManager::hand_over() {
+    handed_over_ = true;
     ledger_ = nullptr;
 }
 
-void Front::run_due() {
-    if (retired_) return;
+void TrunkManager::run_timers() {
+    if (handed_over_) return;
     for (const auto& [id, trunk] : trunks_)
-        if (trunk->group().next_due() <= time_()) trunk->run_due();
-    if (earlier_) earlier_(next_due());
+        if (trunk->group().next_timer() <= time_()) trunk->run_timers();
+    if (earlier_) earlier_(next_timer());
 }
 
-Instant Front::next_due() const {
+Instant TrunkManager::next_timer() const {
     Instant due = Instant::max();
-    for (const auto& [id, trunk] : trunks_) due = std::min(due, trunk->group().next_due());
+    for (const auto& [id, trunk] : trunks_) due = std::min(due, trunk->group().next_timer());
     return due;
 }
 
--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -5,7 +5,7 @@
 namespace nettlestall {
 
 TrunkService::TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
-                           calls::Gatekeeper& gatekeeper, trunk::Front::Time time, log::Log& log)
+                           calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock time, log::Log& log)
     : io_(io),
       settings_(settings),
       gatekeeper_(gatekeeper),
@@ -13,15 +13,15 @@
       log_(log),
       front_(settings_.number, time_, gatekeeper_, gatekeeper_, gatekeeper_),
       desk_(front_, time_) {
-    for (const ListedExchange& lines : settings_.lines) front_.add_lines(lines);
+    for (const ListedExchange& lines : settings_.lines) front_.add_subscriber_lines(lines);
     for (const config::TrunkSettings::Group& group : settings_.groups) front_.add(group.settings);
-    front_.on_freed([this](const trunk::Front::Trunk& of, const trunk::Freed& freed) {
+    front_.on_freed([this](const trunk::TrunkManager::Trunk& of, const trunk::FreedByAudit& freed) {
         log_.warning("audit of group " + std::to_string(of.settings().id) + " frees circuit " +
                          std::to_string(freed.circuit) + ", held at the " +
                          (freed.ref == trunk::kNoCall ? "far end only" : "near end only"),
                      freed.call);
     });
-    front_.on_glare_lost([this](const trunk::Front::Trunk& of, const CallId& call) {
+    front_.on_glare_lost([this](const trunk::TrunkManager::Trunk& of, const CallId& call) {
         if (log_.wants(log::Level::debug))
             log_.debug("group " + std::to_string(of.settings().id) + ": lost a dual seizure", call);
     });
@@ -33,14 +33,15 @@
     auto life = static_cast<std::uint32_t>(now & 0x7fffffff);
     if (!settings_.ledger.empty()) {
         ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger, settings_.point, note);
-        life = ledger_->next_life(life);
+        life = ledger_->next_incarnation(life);
     }
     front_.begin(life, ledger_.get());
     if (ledger_) {
         for (const auto& blocked : ledger_->blocked())
             front_.restore_blocked(blocked.group, blocked.circuit, blocked.blocking);
         const std::size_t back = front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
-            const ExchangeId at = call.outgoing ? front_.find(call.group)->settings().exchange : call.at;
+            const ExchangeId at =
+                call.outgoing ? front_.find(call.group)->settings().exchange : call.exchange;
             gatekeeper_.take_standing(at, call.call, call.origin, link);
         });
         if (back > 0)
@@ -59,7 +60,7 @@
 }
 
 void TrunkService::retire() {
-    front_.retire();
+    front_.hand_over();
     stop();
     ledger_.reset();
 }
@@ -67,11 +68,11 @@
 void TrunkService::take(const config::TrunkSettings& settings) {
     settings_ = settings;
     for (const config::TrunkSettings::Group& group : settings_.groups)
-        front_.find(group.settings.id)->take_times(group.settings.rules);
+        front_.find(group.settings.id)->update_timers(group.settings.rules);
 }
 
 CallerLink* TrunkService::link_of(std::string_view origin) {
-    for (trunk::Front::Trunk* of : front_.trunks())
+    for (trunk::TrunkManager::Trunk* of : front_.trunks())
         if (of->origin() == origin) return of;
     return nullptr;
 }
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -9,18 +9,18 @@
 #include "log/log.hpp"
 #include "net/trunks.hpp"
 #include "store/trunk_ledger.hpp"
-#include "trunk/desk.hpp"
+#include "trunk/operator_commands.hpp"
 
 namespace nettlestall {
 
 class TrunkService {
    public:
     TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
-                 calls::Gatekeeper& gatekeeper, trunk::Front::Time time, log::Log& log);
+                 calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock time, log::Log& log);
 
-    trunk::Front& front() { return front_; }
-    trunk::Desk& desk() { return desk_; }
-    const trunk::Desk& desk() const { return desk_; }
+    trunk::TrunkManager& front() { return front_; }
+    trunk::OperatorCommands& desk() { return desk_; }
+    const trunk::OperatorCommands& desk() const { return desk_; }
 
     // From now on the groups are this process's: its ledger, its links. The list of exchanges must be known.
     // Throws boost::system::system_error if it can't listen.
@@ -36,11 +36,11 @@
     boost::asio::io_context& io_;
     config::TrunkSettings settings_;
     calls::Gatekeeper& gatekeeper_;
-    trunk::Front::Time time_;
+    trunk::TrunkManager::Clock time_;
     log::Log& log_;
     std::unique_ptr<store::TrunkLedger> ledger_;
-    trunk::Front front_;
-    trunk::Desk desk_;
+    trunk::TrunkManager front_;
+    trunk::OperatorCommands desk_;
     std::optional<net::Trunks> links_;
 };
 
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -45,10 +45,11 @@
     CHECK(file.trunk->ledger == "/var/l" && file.trunk->lines.size() == 1 &&
           file.trunk->lines[0].entry.lines_only);
     const auto& g = file.trunk->groups.at(0);
-    CHECK(g.dial == "127.0.0.1:7002" && g.settings.rules.ends.own == 10 && g.settings.rules.ends.far == 20);
-    CHECK(g.settings.rules.hold == 12500ms && g.settings.rules.release_guard == 4s &&
-          !g.settings.rules.audit.on);
-    CHECK(g.settings.rules.audit.every == 9s && g.settings.rules.audit.confirmations == 2);
+    CHECK(g.dial == "127.0.0.1:7002" && g.settings.rules.point_codes.own == 10 &&
+          g.settings.rules.point_codes.far == 20);
+    CHECK(g.settings.rules.link_down_hold == 12500ms && g.settings.rules.release_guard == 4s &&
+          !g.settings.rules.audit.enabled);
+    CHECK(g.settings.rules.audit.interval == 9s && g.settings.rules.audit.confirmations == 2);
 }
 
 void what_is_wrong_is_told_with_its_place() {
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -40,22 +40,22 @@
     Folder folder;
     {
         TrunkLedger ledger = folder.open();
-        CHECK(ledger.in_use() && ledger.calls().empty() && ledger.next_life(100) == 100);
-        ledger.remember(kOne), ledger.remember(kTwo);
-        ledger.remember_blocked(7, 3, trunk::Blocking::hard),
-            ledger.remember_blocked(7, 9, trunk::Blocking::soft);
-        ledger.remember_blocked(7, 9, trunk::Blocking::none);
+        CHECK(ledger.is_open() && ledger.calls().empty() && ledger.next_incarnation(100) == 100);
+        ledger.store_call(kOne), ledger.store_call(kTwo);
+        ledger.store_blocking(7, 3, trunk::Blocking::hard),
+            ledger.store_blocking(7, 9, trunk::Blocking::soft);
+        ledger.store_blocking(7, 9, trunk::Blocking::none);
     }
     TrunkLedger again = folder.open();
-    CHECK((again.calls() == std::vector<LedgerCall>{kOne, kTwo}) && again.next_life(5) == 101);
+    CHECK((again.calls() == std::vector<LedgerCall>{kOne, kTwo}) && again.next_incarnation(5) == 101);
     CHECK(again.blocked().size() == 1 && again.blocked()[0].circuit == 3);
-    again.forget(7, kTwo.claim);
+    again.remove_call(7, kTwo.claim);
     // A later call on one of its circuits: the older one is not whole any more.
     LedgerCall later = kTwo;
     later.claim = {8, {4}};
-    again.remember(later);
+    again.store_call(later);
     CHECK(again.calls() == std::vector<LedgerCall>{later});
-    again.forget(7, kOne.claim);  // leaves the place of the later one alone
+    again.remove_call(7, kOne.claim);  // leaves the place of the later one alone
     CHECK(again.calls() == std::vector<LedgerCall>{later} && folder.notes.empty());
 }
 
@@ -66,7 +66,7 @@
     for (int i = 1; i <= 50; ++i) {
         LedgerCall call = kTwo;
         call.claim = {static_cast<trunk::CallRef>(i), {i}};
-        ledger.remember(call);
+        ledger.store_call(call);
         if (i % 10) continue;
         for (const char* end : {"", "-wal"})
             fs::copy_file(folder.file() + end, copy.file() + end, fs::copy_options::overwrite_existing);
@@ -84,14 +84,14 @@
             for (int i = 1; i <= 200; ++i) {
                 LedgerCall call = kTwo;
                 call.claim = {static_cast<trunk::CallRef>(i), {i}};
-                ledger.remember(call);
+                ledger.store_call(call);
             }
         }
         work(folder.file());
         TrunkLedger ledger = folder.open();
         CHECK(folder.noted(expected) && folder.noted("set aside as " + folder.file() + ".set-aside-1"));
-        CHECK(ledger.in_use() && ledger.calls().empty() && fs::exists(folder.file() + ".set-aside-1"));
-        ledger.remember(kOne);
+        CHECK(ledger.is_open() && ledger.calls().empty() && fs::exists(folder.file() + ".set-aside-1"));
+        ledger.store_call(kOne);
         CHECK(ledger.calls().size() == 1);
     };
     const auto change = [](const std::string& file, const char* statement) {
@@ -117,10 +117,10 @@
     std::vector<std::string> notes;
     TrunkLedger ledger("/nonexistent/folder", 10,
                        [&notes](const std::string& text) { notes.push_back(text); });
-    CHECK(!ledger.in_use() && notes.size() == 1 &&
+    CHECK(!ledger.is_open() && notes.size() == 1 &&
           notes[0].find("nothing will be remembered") != std::string::npos);
-    ledger.remember(kOne);
-    CHECK(ledger.calls().empty() && ledger.next_life(9) == 9);
+    ledger.store_call(kOne);
+    CHECK(ledger.calls().empty() && ledger.next_incarnation(9) == 9);
 }
 
 }  // namespace
--- a/tests/trunk/ends.hpp
+++ b/tests/trunk/ends.hpp
@@ -19,7 +19,7 @@
 
     static GroupRules rules(int end, int circuits) {
         GroupRules r;
-        r.ends = end == low ? Ends{10, 20} : Ends{20, 10};
+        r.point_codes = end == low ? PointCodes{10, 20} : PointCodes{20, 10};
         r.circuits = circuits;
         return r;
     }
@@ -51,12 +51,12 @@
             if (const auto* ended = std::get_if<Ended>(&effect))
                 words.push_back("ended " + ended->call + " " +
                                 std::to_string(static_cast<int>(ended->reason)));
-            if (const auto* freed = std::get_if<Freed>(&effect))
+            if (const auto* freed = std::get_if<FreedByAudit>(&effect))
                 words.push_back("freed " + std::to_string(freed->circuit));
-            if (const auto* stands = std::get_if<Remember>(&effect)) ledger[at(e)].push_back(stands->claim);
-            if (const auto* over = std::get_if<Forget>(&effect))
+            if (const auto* stands = std::get_if<StoreCall>(&effect)) ledger[at(e)].push_back(stands->claim);
+            if (const auto* over = std::get_if<RemoveCall>(&effect))
                 std::erase_if(ledger[at(e)], [&](const Claim& c) { return c.call == over->claim.call; });
-            if (std::holds_alternative<Renew>(effect)) renewed[at(e)] = true;
+            if (std::holds_alternative<RestartLink>(effect)) renewed[at(e)] = true;
         }
     }
     template <class F>
@@ -100,7 +100,7 @@
     }
     void pass(Duration time) {
         now += time;
-        for (int e : {low, high}) with(e, [&](Group& g, Effects& out) { return g.run_due(now, out), 0; });
+        for (int e : {low, high}) with(e, [&](Group& g, Effects& out) { return g.run_timers(now, out), 0; });
     }
     void crash(int e, bool with_ledger) {
         down();
@@ -126,7 +126,7 @@
             if (const Leg* leg = end(e).leg(ref); !leg || leg->state != LegState::standing) return false;
         return true;
     }
-    bool all_idle() { return ends[0].circuits().busy() + ends[1].circuits().busy() == 0; }
+    bool all_idle() { return ends[0].circuits().busy_count() + ends[1].circuits().busy_count() == 0; }
     bool told(int e, const std::string& words) {
         return std::count(heard[at(e)].begin(), heard[at(e)].end(), words) == 1;
     }
--- a/tests/trunk/group_test.cpp
+++ b/tests/trunk/group_test.cpp
@@ -16,16 +16,16 @@
 
 void a_call_takes_its_circuits_and_gives_them_back() {
     TwoEnds t;
-    CHECK(t.end(low).free() == 4);
+    CHECK(t.end(low).free_circuits() == 4);
     const CallRef ref = t.seize(low, "a", 2);
     CHECK(t.end(low).leg(ref)->circuits == (CircuitList{1, 3}));
     t.settle();
-    CHECK(t.told(high, "offered a") && t.end(high).free() == 2);
+    CHECK(t.told(high, "offered a") && t.end(high).free_circuits() == 2);
     CHECK(t.answer(high, ref) && !t.answer(high, ref));
     t.settle();
     CHECK(t.told(low, "answered a") && t.ledger[low].size() == 1 && t.ledger[high] == t.ledger[low]);
     t.release(low, ref);
-    CHECK(t.end(low).free() == 2);  // the guard: not before the far end confirms
+    CHECK(t.end(low).free_circuits() == 2);  // the guard: not before the far end confirms
     t.settle();
     CHECK(t.told(high, "ended a 0") && t.all_idle() && t.ledger[low].empty() && t.ledger[high].empty());
     CHECK(t.heard[low] == std::vector<std::string>{"answered a"});  // nothing of its own release
@@ -36,13 +36,13 @@
     const CallRef ref = t.seize(high, "a");
     t.settle();
     t.release(low, ref, Reason::refused);
-    CHECK(t.end(low).free() == 4);
+    CHECK(t.end(low).free_circuits() == 4);
     // What is seized after it comes behind it.
     const CallRef next = t.seize(low, "b", 4);
     CHECK(next != kNoCall);
     t.settle();
     CHECK(t.told(high, "ended a " + std::to_string(static_cast<int>(Reason::refused))));
-    CHECK(t.told(high, "offered b") && t.end(high).free() == 0);
+    CHECK(t.told(high, "offered b") && t.end(high).free_circuits() == 0);
 }
 
 // Both ends seize one circuit, and again on the retry.
@@ -88,7 +88,7 @@
         t.settle();
         const bool a_stands = t.end(low).leg(a), b_stands = t.end(high).leg(b);
         CHECK(a_stands != b_stands);
-        CHECK(t.end(low).circuits().busy() == 3 && t.end(high).circuits().busy() == 3);
+        CHECK(t.end(low).circuits().busy_count() == 3 && t.end(high).circuits().busy_count() == 3);
         const int winner = a_stands ? low : high;
         CHECK(t.end(1 - winner).leg(a_stands ? a : b)->state == LegState::incoming);
         t.release(winner, a_stands ? a : b);
@@ -112,7 +112,7 @@
             const Leg *here = t.end(low).leg(ref), *there = t.end(high).leg(ref);
             CHECK((here == nullptr) == (there == nullptr));  // both ends have it, or neither
         }
-        CHECK(t.end(low).circuits().busy() == t.end(high).circuits().busy());
+        CHECK(t.end(low).circuits().busy_count() == t.end(high).circuits().busy_count());
         for (const CallRef ref : {x, y, z})
             for (const int e : {low, high})
                 if (t.end(e).leg(ref) && t.end(e).leg(ref)->outgoing) t.release(e, ref);
@@ -151,7 +151,7 @@
         t.settle();
         CHECK(t.heard[high].size() <= 2 && !t.end(high).leg(b));
         CHECK(std::count(t.heard[high].begin(), t.heard[high].end(), "ended b " + kGlare) == !loser_first);
-        CHECK(t.end(low).circuits().busy() == t.end(high).circuits().busy());
+        CHECK(t.end(low).circuits().busy_count() == t.end(high).circuits().busy_count());
     }
 }
 
@@ -165,7 +165,7 @@
     const CallRef c = t.seize(low, "c");
     CHECK(c != kNoCall);
     t.settle();
-    CHECK(t.told(high, "offered c") && t.end(high).circuits().busy() == 1);
+    CHECK(t.told(high, "offered c") && t.end(high).circuits().busy_count() == 1);
     // Both release one call at once.
     t.answer(high, c);
     t.settle();
@@ -181,9 +181,10 @@
     t.release(low, a);
     t.inbox(high).clear();  // lost for good
     t.pass(3s);
-    CHECK(t.end(low).circuits().busy() == 1 && t.end(high).leg(a));
+    CHECK(t.end(low).circuits().busy_count() == 1 && t.end(high).leg(a));
     t.pass(2s);
-    CHECK(t.end(low).counts().guards == 1 && t.end(low).circuits().at(1).state == CircuitState::resetting);
+    CHECK(t.end(low).counts().release_timeouts == 1 &&
+          t.end(low).circuits().at(1).state == CircuitState::resetting);
     t.inbox(high).clear();  // and the reset, too
     t.pass(6s);
     t.settle();
@@ -200,7 +201,7 @@
     CHECK(b != kNoCall);
     t.settle();
     // The late confirmation must not clear what has been seized since.
-    CHECK(t.end(low).leg(b)->state == LegState::proceeding && t.end(low).circuits().busy() == 3);
+    CHECK(t.end(low).leg(b)->state == LegState::proceeding && t.end(low).circuits().busy_count() == 3);
     CHECK(!t.end(low).leg(a) && !t.end(high).leg(a));
     t.release(low, b);
     t.settle();
@@ -212,7 +213,7 @@
     TwoEnds t(4);
     const CallRef a = t.stand(low, "a", 3);
     CHECK(!t.receive(low, Reset{1, {3}}));
-    CHECK(t.told(low, "ended a " + kReset) && t.end(low).circuits().at(3).idle());
+    CHECK(t.told(low, "ended a " + kReset) && t.end(low).circuits().at(3).is_idle());
     t.settle();
     CHECK(t.all_idle() && !t.end(high).leg(a));
 }
@@ -221,10 +222,11 @@
     for (const int forgetful : {low, high}) {
         TwoEnds t(4);
         const CallRef kept = t.stand(low, "kept"), a = t.stand(low, "a", 2);
-        t.end(forgetful).lose_memory_of(a);
+        t.end(forgetful).inject_memory_loss(a);
         for (int i = 0; i < 100; ++i) t.pass(1s), t.settle();
         CHECK(!t.end(1 - forgetful).leg(a) && t.told(1 - forgetful, "ended a " + kReset));
-        CHECK(t.stands(kept) && t.end(low).circuits().busy() == 1 && t.end(high).circuits().busy() == 1);
+        CHECK(t.stands(kept) && t.end(low).circuits().busy_count() == 1 &&
+              t.end(high).circuits().busy_count() == 1);
         CHECK(t.end(low).counts().audit_freed + t.end(high).counts().audit_freed > 0);
     }
 }
@@ -233,7 +235,7 @@
 void a_live_call_is_never_cut_by_an_audit() {
     GroupRules a = TwoEnds::rules(low, 4), b = TwoEnds::rules(high, 4);
     a.audit.confirmations = b.audit.confirmations = 1;
-    a.audit.every = b.audit.every = 1h;
+    a.audit.interval = b.audit.interval = 1h;
     Dice dice{5};
     for (int run = 0; run < 3000; ++run) {
         TwoEnds t(a, b);
@@ -262,7 +264,7 @@
         t.settle();
         for (int e : {low, high})
             CHECK(t.end(e).counts().audit_freed == 0 && t.end(e).counts().contradictions == 0);
-        CHECK(t.end(low).circuits().busy() == t.end(high).circuits().busy());
+        CHECK(t.end(low).circuits().busy_count() == t.end(high).circuits().busy_count());
     }
 }
 
@@ -277,8 +279,8 @@
         CHECK(t.stands(a) == ledger && !t.end(high).leg(b));
         CHECK(t.told(high, "ended b " + kLost));
         CHECK(t.told(high, "ended a " + kCut) == !ledger);
-        CHECK(t.end(high).circuits().busy() == (ledger ? 2 : 0));
-        CHECK(t.end(low).circuits().busy() == (ledger ? 2 : 0));
+        CHECK(t.end(high).circuits().busy_count() == (ledger ? 2 : 0));
+        CHECK(t.end(low).circuits().busy_count() == (ledger ? 2 : 0));
     }
 }
 
@@ -318,8 +320,8 @@
         CHECK(t.stands(b) == ledger);
         t.end(high).audit_now(t.now);
         t.pass(0s), t.settle();
-        CHECK(t.end(low).circuits().busy() == (ledger ? 1 : 0));
-        CHECK(t.end(high).circuits().busy() == t.end(low).circuits().busy());
+        CHECK(t.end(low).circuits().busy_count() == (ledger ? 1 : 0));
+        CHECK(t.end(high).circuits().busy_count() == t.end(low).circuits().busy_count());
     }
 }
 
@@ -336,18 +338,19 @@
     CHECK(t.told(low, "ended a " + kCut) && t.told(high, "ended a " + kCut) && t.renewed[low] &&
           t.renewed[high]);
     t.up(false), t.settle();
-    CHECK(t.all_idle() && t.end(low).free() == 4);
+    CHECK(t.all_idle() && t.end(low).free_circuits() == 4);
 }
 
 void blocked_circuits_are_left_alone() {
     TwoEnds t(4);
     const CallRef a = t.stand(low, "a");  // circuit 1
     t.with(high, [&](Group& g, Effects& out) { return g.block(t.now, {1, 2}, Blocking::soft, out), 0; });
-    CHECK(t.end(high).free() == 2);
+    CHECK(t.end(high).free_circuits() == 2);
     // A seizure that crosses the blocking is turned back; what stands stays.
     t.with(low, [&](Group& g, Effects& out) { return g.block(t.now, {3, 4}, Blocking::soft, out), 0; });
     t.settle();
-    CHECK(t.stands(a) && t.end(low).free() == 0 && t.end(high).free() == 0 && t.seize(low, "b") == kNoCall);
+    CHECK(t.stands(a) && t.end(low).free_circuits() == 0 && t.end(high).free_circuits() == 0 &&
+          t.seize(low, "b") == kNoCall);
     t.with(high, [&](Group& g, Effects& out) { return g.block(t.now, {1, 2}, Blocking::none, out), 0; });
     const CallRef c = t.seize(high, "c");
     CHECK(c != kNoCall && t.end(high).leg(c)->circuits == CircuitList{2});
@@ -408,7 +411,7 @@
         t.release(low, old.call);
     }
     CHECK(t.told(low, "offered old") && !t.end(low).leg(old.call));
-    const CallRef later = t.seize(low, "n", t.end(low).free());
+    const CallRef later = t.seize(low, "n", t.end(low).free_circuits());
     CHECK(t.end(low).circuits().at(4).call == later && !t.receive(low, reset));
     CHECK(t.end(low).leg(later)->state == LegState::seizing);
     Group fresh(TwoEnds::rules(low, 4), 1);
@@ -417,7 +420,7 @@
     CHECK(fresh.receive(t.now, Seize{theirs, {1}, {.call = "x"}}, out));  // before its claims
     CHECK(fresh.receive(t.now, Claims{{{theirs, {5}}}, {}}, out) && !fresh.in_service());
     CHECK(fresh.receive(t.now, Claims{{}, {{5, Blocking::hard}}}, out) && !fresh.in_service());
-    CHECK(!fresh.receive(t.now, Claims{{{theirs, {4}}}, {}}, out) && fresh.free() == 4);
+    CHECK(!fresh.receive(t.now, Claims{{{theirs, {4}}}, {}}, out) && fresh.free_circuits() == 4);
 }
 
 // Traffic at random, messages in any order of the two directions, breaks of both kinds: it always settles.
@@ -452,7 +455,7 @@
                         t.pass(Duration(static_cast<std::int64_t>(dice.below(8'000'000))));
                     break;
                 case 7:
-                    if (dice.below(20) == 0 && !mine.empty()) t.end(e).lose_memory_of(any());
+                    if (dice.below(20) == 0 && !mine.empty()) t.end(e).inject_memory_loss(any());
                     break;
                 case 8:
                     if (dice.below(25) == 0) {
--- a/tests/trunk/link_test.cpp
+++ b/tests/trunk/link_test.cpp
@@ -15,7 +15,8 @@
     int anew = 0, resumed = 0;
     const char* wrong = nullptr;
     Session session;
-    End(Ends ends, std::uint32_t life, int circuits = 30) : session({ends, 7, circuits}, life, *this) {}
+    End(PointCodes point_codes, std::uint32_t incarnation, int circuits = 30)
+        : session({point_codes, 7, circuits}, incarnation, *this) {}
     void link_up(bool again) override { ++(again ? resumed : anew); }
     const char* received(const Message& message) override {
         if (wrong) return wrong;
@@ -39,7 +40,8 @@
     void collect() { to_b += a.session.take_output(), to_a += b.session.take_output(); }
     bool pump() {  // until nothing is under way
         for (collect(); !to_a.empty() || !to_b.empty(); collect())
-            if (!a.session.fed(std::exchange(to_a, {})) || !b.session.fed(std::exchange(to_b, {})))
+            if (!a.session.receive_bytes(std::exchange(to_a, {})) ||
+                !b.session.receive_bytes(std::exchange(to_b, {})))
                 return false;
         return true;
     }
@@ -65,7 +67,7 @@
                     link.connect();
                     break;
                 case 1:
-                    link.a.session.beat(), link.b.session.beat();
+                    link.a.session.send_heartbeat(), link.b.session.send_heartbeat();
                     break;
                 case 2:
                 case 3:
@@ -81,7 +83,8 @@
                         bytes.erase(0, part.size());
                         return part;
                     };
-                    CHECK(link.a.session.fed(cut(link.to_a)) && link.b.session.fed(cut(link.to_b)));
+                    CHECK(link.a.session.receive_bytes(cut(link.to_a)) &&
+                          link.b.session.receive_bytes(cut(link.to_b)));
             }
         }
         link.drop();
@@ -105,14 +108,14 @@
     for (std::string to_a, to_b;;) {
         to_b = link.a.session.take_output(), to_a = again.session.take_output();
         if (to_a.empty() && to_b.empty()) break;
-        CHECK(link.a.session.fed(to_a) && again.session.fed(to_b));
+        CHECK(link.a.session.receive_bytes(to_a) && again.session.receive_bytes(to_b));
     }
     CHECK(link.a.anew == 2 && link.a.resumed == 0 && again.anew == 1 && again.heard.empty());
     // One that was down for too long renews itself; both ends see it.
     Link worn;
     worn.connect();
     CHECK(worn.pump());
-    worn.a.session.renew();
+    worn.a.session.begin_new_incarnation();
     worn.drop();
     worn.connect();
     CHECK(worn.pump() && worn.a.anew == 2 && worn.b.anew == 2);
@@ -120,11 +123,11 @@
     Link half;
     half.connect();
     CHECK(half.pump());
-    half.a.session.renew();
+    half.a.session.begin_new_incarnation();
     half.drop();
     half.connect();
     half.collect();
-    CHECK(half.a.session.fed(half.to_a));
+    CHECK(half.a.session.receive_bytes(half.to_a));
     half.drop();
     half.connect();
     CHECK(half.pump() && half.b.anew == 2 && half.b.resumed == 0 && half.a.resumed == 0);
@@ -134,11 +137,11 @@
     const auto complaint = [](End a, End b) {
         a.session.connected(), b.session.connected();
         a.session.take_output();
-        const bool taken = a.session.fed(b.session.take_output());
-        CHECK(!taken && !a.session.up() && a.session.counts().mismatched == 1);
-        CHECK(!b.session.fed(a.session.take_output()));  // it is told why
-        CHECK(b.session.complaint().find(a.session.complaint()) != std::string::npos);
-        return a.session.complaint();
+        const bool taken = a.session.receive_bytes(b.session.take_output());
+        CHECK(!taken && !a.session.is_up() && a.session.counts().mismatched == 1);
+        CHECK(!b.session.receive_bytes(a.session.take_output()));  // it is told why
+        CHECK(b.session.close_reason().find(a.session.close_reason()) != std::string::npos);
+        return a.session.close_reason();
     };
     CHECK(complaint(End({10, 20}, 1), End({20, 10}, 1, 31)) == "number of circuits is 31 there and 30 here");
     CHECK(complaint(End({10, 20}, 1), End({21, 10}, 1)) ==
@@ -148,25 +151,27 @@
 
 // Repeated, reordered, made up: numbers that don't follow.
 void numbers_must_follow() {
-    const auto fed = [](End& end, const Frame& frame) { return end.session.fed(write(frame)); };
+    const auto fed = [](End& end, const Frame& frame) { return end.session.receive_bytes(encode(frame)); };
     const auto open = [](End& end) {
         end.session.connected();
-        CHECK(end.session.fed(write(Hello{.point = 20,
-                                          .far_point = 10,
-                                          .group = 7,
-                                          .circuits = 30,
-                                          .life = 5,
-                                          .far_life = 0,
-                                          .received = 0})));
+        CHECK(end.session.receive_bytes(encode(Hello{.point = 20,
+                                                     .far_point = 10,
+                                                     .group = 7,
+                                                     .circuits = 30,
+                                                     .incarnation = 5,
+                                                     .far_incarnation = 0,
+                                                     .received = 0})));
     };
     End end({10, 20}, 1);
-    CHECK(!fed(end, Numbered{1, 0, ReleaseComplete{1}}));  // before the hello
+    CHECK(!fed(end, NumberedMessage{1, 0, ReleaseComplete{1}}));  // before the hello
     End other({10, 20}, 1);
     open(other);
-    CHECK(fed(other, Numbered{1, 0, ReleaseComplete{1}}) && fed(other, Numbered{1, 0, ReleaseComplete{1}}));
-    CHECK(fed(other, Numbered{2, 0, ReleaseComplete{2}}) && fed(other, Numbered{1, 0, ReleaseComplete{1}}));
+    CHECK(fed(other, NumberedMessage{1, 0, ReleaseComplete{1}}) &&
+          fed(other, NumberedMessage{1, 0, ReleaseComplete{1}}));
+    CHECK(fed(other, NumberedMessage{2, 0, ReleaseComplete{2}}) &&
+          fed(other, NumberedMessage{1, 0, ReleaseComplete{1}}));
     CHECK(other.heard == up_to(2) && other.session.counts().repeated == 2);
-    CHECK(!fed(other, Numbered{4, 0, ReleaseComplete{4}}));  // one is missing
+    CHECK(!fed(other, NumberedMessage{4, 0, ReleaseComplete{4}}));  // one is missing
     CHECK(other.heard == up_to(2));
     other.session.disconnected();
     open(other);  // its life is another one to the far end: that starts anew
@@ -174,14 +179,15 @@
     CHECK(!fed(other, Heartbeat{1}));  // confirms what was never sent
     End third({10, 20}, 1);
     open(third);
-    CHECK(!fed(third, Hello{.point = 20, .far_point = 10, .group = 7, .circuits = 30, .life = 5}));
+    CHECK(!fed(third, Hello{.point = 20, .far_point = 10, .group = 7, .circuits = 30, .incarnation = 5}));
     End fourth({10, 20}, 1);
     open(fourth);
     fourth.wrong = "a message that can't be";
-    CHECK(!fed(fourth, Numbered{1, 0, ReleaseComplete{1}}) && fourth.session.complaint() == fourth.wrong);
+    CHECK(!fed(fourth, NumberedMessage{1, 0, ReleaseComplete{1}}) &&
+          fourth.session.close_reason() == fourth.wrong);
     End fifth({10, 20}, 1);
     open(fifth);
-    CHECK(!fifth.session.fed(std::string(8, '\xff')) && fifth.session.counts().malformed == 1);
+    CHECK(!fifth.session.receive_bytes(std::string(8, '\xff')) && fifth.session.counts().malformed == 1);
 }
 
 void a_far_end_that_confirms_nothing_fills_no_memory() {
@@ -189,9 +195,9 @@
     link.connect();
     CHECK(link.pump());
     const std::string description(30'000, 'x');
-    for (int i = 0; i < 1000 && link.a.session.connected_now(); ++i)
+    for (int i = 0; i < 1000 && link.a.session.is_connected(); ++i)
         link.a.session.send(Answer{1, description});
-    CHECK(!link.a.session.connected_now() && !link.a.session.has_output());
+    CHECK(!link.a.session.is_connected() && !link.a.session.has_output());
     link.drop();
     link.connect();
     CHECK(link.pump() && link.a.anew == 2 && link.b.heard.empty());
--- a/tests/trunk/front_test.cpp
+++ b/tests/trunk/manager_test.cpp
@@ -1,6 +1,4 @@
 // Two call tables, each with the real decision module, joined by a group over sessions: what callers hear.
-#include "trunk/front.hpp"
-
 #include <map>
 #include <memory>
 #include <set>
@@ -8,6 +6,7 @@
 #include "calls/gatekeeper.hpp"
 #include "calls/routes.hpp"
 #include "net/check.hpp"
+#include "trunk/trunk_manager.hpp"
 
 using namespace nettlestall;
 using namespace nettlestall::trunk;
@@ -41,9 +40,9 @@
     Lines lines;
     calls::Routes routes{lines};
     calls::Gatekeeper table;
-    Front front;
+    TrunkManager front;
     Callers callers;
-    Front::Trunk* trunk = nullptr;
+    TrunkManager::Trunk* trunk = nullptr;
     bool due = false;
 
     static Settings settings() {
@@ -64,14 +63,14 @@
               number, [this] { return now; }, table, table, table) {
         GroupSettings g;
         g.id = 7, g.exchange = "far", g.number = 3 - number;
-        g.rules.ends = {number * 10, (3 - number) * 10}, g.rules.circuits = circuits;
+        g.rules.point_codes = {number * 10, (3 - number) * 10}, g.rules.circuits = circuits;
         trunk = &front.add(g);
         front.begin(1, nullptr);
         routes.add("far", front);
         ListedExchange own;
         own.entry.exchange = "lines", own.entry.number = number;
-        front.add_lines(own);
-        table.list(front.with_hubs(
+        front.add_subscriber_lines(own);
+        table.list(front.with_far_hubs(
             {.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}}));
         LoadReport room;
         room.free_circuits = room.group_size = 100;
@@ -102,16 +101,17 @@
     void collect() { to[1] += a.trunk->take_output(), to[0] += b.trunk->take_output(); }
     void pump() {
         for (collect(); !to[0].empty() || !to[1].empty(); collect())
-            CHECK(a.trunk->fed(std::exchange(to[0], {})) && b.trunk->fed(std::exchange(to[1], {})));
+            CHECK(a.trunk->receive_bytes(std::exchange(to[0], {})) &&
+                  b.trunk->receive_bytes(std::exchange(to[1], {})));
     }
     void pass(Duration time) {
         for (const Instant end = now + time; now < end;) {
             now += 5ms;
-            for (Hub* hub : {&a, &b}) hub->table.run_due(), hub->front.run_due();
+            for (Hub* hub : {&a, &b}) hub->table.run_due(), hub->front.run_timers();
             pump();
         }
     }
-    int busy() { return a.trunk->group().circuits().busy() + b.trunk->group().circuits().busy(); }
+    int busy() { return a.trunk->group().circuits().busy_count() + b.trunk->group().circuits().busy_count(); }
 };
 
 void a_call_crosses_and_ends_once() {
@@ -221,7 +221,7 @@
         p.b.table.stands("lines", "x", "media");
         p.pump();
         Hub& forgetful = near ? p.a : p.b;
-        forgetful.trunk->lose_memory_of(forgetful.trunk->ref_of("x"));
+        forgetful.trunk->inject_memory_loss(forgetful.trunk->ref_of("x"));
         p.pass(70s);
         CHECK(p.busy() == 0 && p.a.table.calls() == 0 && p.b.table.calls() == 0);
         CHECK((p.a.heard("x") == Words{"answer", "cut"}) && p.b.lines.gone.count("x"));
--- a/tests/trunk/parts_test.cpp
+++ b/tests/trunk/parts_test.cpp
@@ -20,21 +20,22 @@
 
 void circuits_go_only_where_they_can() {
     Circuits c(2);
-    CHECK(c.free() == 2 && c.exists(2) && !c.exists(3) && !c.exists(0));
+    CHECK(c.free_count() == 2 && c.exists(2) && !c.exists(3) && !c.exists(0));
     CHECK(!c.apply(1, CircuitEvent::answer, 7));  // nobody has seized it
-    CHECK(c.apply(1, CircuitEvent::seize, 7) && c.at(1).call == 7 && c.free() == 1);
-    CHECK(!c.apply(1, CircuitEvent::take, 8));  // the far end's seizure: glare comes first
-    CHECK(c.apply(1, CircuitEvent::yield, 7) && c.apply(1, CircuitEvent::take, 8) && c.at(1).call == 8);
+    CHECK(c.apply(1, CircuitEvent::seize, 7) && c.at(1).call == 7 && c.free_count() == 1);
+    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 8));  // the far end's seizure: glare comes first
+    CHECK(c.apply(1, CircuitEvent::yield, 7) && c.apply(1, CircuitEvent::accept_incoming, 8) &&
+          c.at(1).call == 8);
     CHECK(c.apply(1, CircuitEvent::answer, 8) && c.apply(1, CircuitEvent::release, 8));
-    CHECK(!c.apply(1, CircuitEvent::take, 9));  // the guard: not before the far end has confirmed
-    CHECK(c.apply(1, CircuitEvent::clear, 0) && c.at(1).idle() && c.at(1).call == kNoCall);
+    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 9));  // the guard: not before the far end has confirmed
+    CHECK(c.apply(1, CircuitEvent::clear, 0) && c.at(1).is_idle() && c.at(1).call == kNoCall);
     CHECK(c.at(1).changes == 6 && c.at(1).idle_since > c.at(2).idle_since);
     c.block_there(2, Blocking::soft);
-    CHECK(c.free() == 1 && c.busy() == 0);
+    CHECK(c.free_count() == 1 && c.busy_count() == 0);
 }
 
 void both_ends_agree_who_yields() {
-    const Ends low{10, 20}, high{20, 10};
+    const PointCodes low{10, 20}, high{20, 10};
     CHECK(controls(high, 2) && !controls(low, 2) && controls(low, 1) && !controls(high, 1));
     Dice dice{99};
     for (int i = 0; i < 20'000; ++i) {
@@ -42,8 +43,8 @@
         for (std::size_t n = 1 + dice.below(5); n > 0; --n) a.insert(1 + static_cast<int>(dice.below(8)));
         for (std::size_t n = 1 + dice.below(5); n > 0; --n) b.insert(1 + static_cast<int>(dice.below(8)));
         const CircuitList as(a.begin(), a.end()), bs(b.begin(), b.end());
-        const bool low_stands = ours_stands(low, as, bs), high_stands = ours_stands(high, bs, as);
-        if (contested(as, bs) == 0)
+        const bool low_stands = our_seizure_wins(low, as, bs), high_stands = our_seizure_wins(high, bs, as);
+        if (lowest_contested_circuit(as, bs) == 0)
             CHECK(low_stands && high_stands);
         else
             CHECK(low_stands != high_stands);  // exactly one
@@ -52,7 +53,7 @@
 
 void each_end_hunts_from_its_own_half() {
     Circuits c(6);
-    const Ends low{10, 20}, high{20, 10};
+    const PointCodes low{10, 20}, high{20, 10};
     CHECK(hunt(c, low, 3, Hunting::own_half) == (CircuitList{1, 3, 5}));
     CHECK(hunt(c, high, 3, Hunting::own_half) == (CircuitList{2, 4, 6}));
     CHECK(hunt(c, high, 3, Hunting::ascending) == (CircuitList{1, 2, 3}));
@@ -73,13 +74,14 @@
     AuditRules rules;
     Query query;
     Audit audit;
-    explicit Question(int confirmations = 1, bool heeds_changes = true)
-        : rules{.confirmations = confirmations, .heeds_changes = heeds_changes}, audit(rules) {
+    explicit Question(int confirmations = 1, bool skip_changed_circuits = true)
+        : rules{.confirmations = confirmations, .skip_changed_circuits = skip_changed_circuits},
+          audit(rules) {
         circuits.apply(2, CircuitEvent::seize, 7), circuits.apply(2, CircuitEvent::accept, 7);
         ask(1000s);
     }
     void ask(Instant now) {
-        audit.hurry(now);
+        audit.start_now(now);
         const auto asked = audit.ask(now, circuits);
         CHECK(asked && asked->first == 1 && asked->count == 4);
         query = *asked;
@@ -111,14 +113,14 @@
     CHECK(before.audit.judge(old, before.circuits).empty());
     // What awaits a word of the other end, on either side, is no finding: a rejection may be under way.
     Question waits;
-    CHECK(waits.audit.judge(waits.response({0, kInBetween, kInBetween, 0}), waits.circuits).empty());
+    CHECK(waits.audit.judge(waits.response({0, kTransient, kTransient, 0}), waits.circuits).empty());
     waits.circuits.apply(1, CircuitEvent::seize, 9);
     waits.ask(1010s);
     CHECK(waits.audit.judge(waits.response({0, 7, 0, 0}), waits.circuits).empty());
     // Two in a row, where so many are wanted.
     Question twice(2);
     CHECK(twice.audit.judge(twice.response({0, 0, 0, 0}), twice.circuits).empty() &&
-          twice.audit.suspects() == 1);
+          twice.audit.suspect_count() == 1);
     twice.ask(1001s);
     CHECK(twice.audit.judge(twice.response({0, 0, 0, 0}), twice.circuits) == std::vector<CircuitNumber>{2});
     // Between two findings it was seen in order: that starts anew.
@@ -134,22 +136,22 @@
 void what_crosses_the_question_is_left_alone() {
     for (const bool heeds : {true, false}) {
         Question taken(1, heeds);
-        taken.circuits.apply(3, CircuitEvent::take, 9);  // its news crosses the response
+        taken.circuits.apply(3, CircuitEvent::accept_incoming, 9);  // its news crosses the response
         CHECK(taken.audit.judge(taken.response({0, 7, 0, 0}), taken.circuits).empty() == heeds);
         Question released(1, heeds);
         released.circuits.apply(2, CircuitEvent::clear, 0);
         CHECK(released.audit.judge(released.response({0, 7, 0, 0}), released.circuits).empty() == heeds);
         Question again(1, heeds);  // released and seized: the state is as before, the call is another
         again.circuits.apply(2, CircuitEvent::clear, 0);
-        again.circuits.apply(2, CircuitEvent::take, 8);
+        again.circuits.apply(2, CircuitEvent::accept_incoming, 8);
         CHECK(again.audit.judge(again.response({0, 7, 0, 0}), again.circuits).empty() == heeds);
     }
 }
 
 void audits_go_round_the_group() {
     Circuits c(10);
-    Audit audit({.every = 30s, .patience = 5s, .at_once = 4});
-    CHECK(!audit.ask(1000s, c) && audit.next_due() == 1030s);
+    Audit audit({.interval = 30s, .response_timeout = 5s, .circuits_per_query = 4});
+    CHECK(!audit.ask(1000s, c) && audit.next_timer() == 1030s);
     std::vector<int> firsts;
     Instant now = 1030s;
     for (int i = 0; i < 3; ++i) {
@@ -160,9 +162,9 @@
         audit.judge({asked->id, asked->first, std::vector<CallRef>(static_cast<std::size_t>(asked->count))},
                     c);
     }
-    CHECK(firsts == (std::vector<int>{1, 5, 9}) && audit.next_due() == 1060s);
+    CHECK(firsts == (std::vector<int>{1, 5, 9}) && audit.next_timer() == 1060s);
     CHECK(audit.ask(1060s, c) && !audit.ask(1064s, c) && audit.ask(1065s, c));  // unanswered: put anew
-    CHECK(!Audit({.on = false}).ask(1000s, c));
+    CHECK(!Audit({.enabled = false}).ask(1000s, c));
 }
 
 void only_what_both_claim_is_kept() {
@@ -170,11 +172,11 @@
     const Reconciled a = reconcile(ours, theirs), b = reconcile(theirs, ours);
     CHECK(a.kept == std::vector<CallRef>{1} && b.kept == a.kept);
     CHECK(a.ours == (std::vector<CallRef>{2, 3}) && a.theirs == (std::vector<CallRef>{2, 4}));
-    CHECK(!wrong_with({theirs, {{9, Blocking::hard}}}, 9));
-    CHECK(wrong_with({theirs, {}}, 5) && wrong_with({{{1, {1}}, {1, {2}}}, {}}, 9));
-    CHECK(wrong_with({{{1, {1}}, {2, {1}}}, {}}, 9) && wrong_with({{}, {{10, Blocking::soft}}}, 9));
+    CHECK(!find_error({theirs, {{9, Blocking::hard}}}, 9));
+    CHECK(find_error({theirs, {}}, 5) && find_error({{{1, {1}}, {1, {2}}}, {}}, 9));
+    CHECK(find_error({{{1, {1}}, {2, {1}}}, {}}, 9) && find_error({{}, {{10, Blocking::soft}}}, 9));
     // A ledger that contradicts itself, or is of a larger group, loses the calls concerned and no others.
-    const std::vector<Claim> sound = claimable(
+    const std::vector<Claim> sound = select_claimable(
         {{1, {1}}, {2, {2, 3}}, {3, {3}}, {4, {7}}, {5, {}}, {6, {5, 4}}, {8, {6}}, {8, {5}}, {9, {0}}}, 6);
     CHECK(sound == (std::vector<Claim>{{1, {1}}}));
 }
@@ -197,32 +199,32 @@
                                 Query{3, 1, 30},
                                 QueryResponse{3, 1, {0, 5, 0}},
                                 Claims{{{5, {1, 2}}}, {{4, Blocking::soft}}}};
-    for (const Message& message : messages) all.push_back(Numbered{77, 76, message});
+    for (const Message& message : messages) all.push_back(NumberedMessage{77, 76, message});
     return all;
 }
 
 void what_is_written_is_read() {
     FrameReader reader;
     std::string bytes;
-    for (const Frame& frame : samples()) bytes += write(frame);
+    for (const Frame& frame : samples()) bytes += encode(frame);
     std::vector<std::string> found;
     Frame frame;
     for (const char byte : bytes) {  // one at a time
-        reader.fed(std::string_view(&byte, 1));
-        while (reader.next(frame) == FrameReader::Next::frame) found.push_back(write(frame));
+        reader.append(std::string_view(&byte, 1));
+        while (reader.next(frame) == FrameReader::Status::complete) found.push_back(encode(frame));
     }
     CHECK(found.size() == samples().size());
-    for (std::size_t i = 0; i < found.size(); ++i) CHECK(found[i] == write(samples()[i]));
+    for (std::size_t i = 0; i < found.size(); ++i) CHECK(found[i] == encode(samples()[i]));
 }
 
 void what_is_malformed_is_told() {
     for (const Frame& sample : samples()) {
-        const std::string whole = write(sample).substr(kFrameLength);
-        for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!read(whole.substr(0, cut)));
-        CHECK(!read(whole + '\0'));
+        const std::string whole = encode(sample).substr(kFrameLengthBytes);
+        for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!decode(whole.substr(0, cut)));
+        CHECK(!decode(whole + '\0'));
     }
     const auto refused = [](const Message& message) {
-        return !read(std::string_view(write(Numbered{1, 0, message})).substr(kFrameLength));
+        return !decode(std::string_view(encode(NumberedMessage{1, 0, message})).substr(kFrameLengthBytes));
     };
     CHECK(refused(Seize{1, {}, {.call = "a"}}) && refused(Seize{1, {2, 1}, {.call = "a"}}));
     CHECK(refused(Seize{1, {2, 2}, {.call = "a"}}) && refused(Seize{1, {0}, {.call = "a"}}));
@@ -230,26 +232,26 @@
     CHECK(refused(Seize{1, {1}, {.call = ""}}) && refused(Reset{1, {3, 1}}));
     CHECK(refused(Claims{{{0, {1}}}, {}}) && refused(Claims{{{1, {}}}, {}}));
     FrameReader huge;
-    huge.fed(std::string("\xff\xff\xff\xff", 4));
+    huge.append(std::string("\xff\xff\xff\xff", 4));
     Frame frame;
-    CHECK(huge.next(frame) == FrameReader::Next::malformed);
+    CHECK(huge.next(frame) == FrameReader::Status::malformed);
 }
 
 void garbage_and_bent_bytes_break_nothing() {
     Dice dice{4711};
     const std::vector<Frame> all = samples();
     for (int i = 0; i < 60'000; ++i) {
-        std::string bytes = write(all[dice.below(all.size())]);
+        std::string bytes = encode(all[dice.below(all.size())]);
         for (std::size_t n = dice.below(4); n > 0; --n)
             bytes[dice.below(bytes.size())] = static_cast<char>(dice.below(256));
         if (dice.below(4) == 0) bytes.resize(dice.below(bytes.size()));
         FrameReader reader;
-        reader.fed(bytes);
+        reader.append(bytes);
         Frame frame;
-        while (reader.next(frame) == FrameReader::Next::frame) {
+        while (reader.next(frame) == FrameReader::Status::complete) {
             // Whatever is taken keeps to its bounds, and is the same when written again.
-            const auto again = read(std::string_view(write(frame)).substr(kFrameLength));
-            CHECK(again && write(*again) == write(frame));
+            const auto again = decode(std::string_view(encode(frame)).substr(kFrameLengthBytes));
+            CHECK(again && encode(*again) == encode(frame));
         }
     }
 }
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -153,8 +153,8 @@
     refused(std::string(64, '\xff'));
     refused(std::string("\0\0\0\0", 4));
     using namespace nettlestall::trunk;
-    refused(write(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .life = 1}));
-    refused(write(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .life = 1}));
+    refused(encode(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .incarnation = 1}));
+    refused(encode(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .incarnation = 1}));
     hubs.at(b).program->await_log("group 8 is not known here");
     hubs.at(b).program->await_log("number of circuits is 5 there and 4 here");
     std::vector<Peer> silent;
