--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Gatekeeper::Gatekeeper(const Settings& settings, std::uint64_t seed, Time time, Switches& switches,
+Gatekeeper::Gatekeeper(const Settings& settings, std::uint64_t seed, Clock time, Switches& switches,
                        Counters& counters, const Bounds& bounds)
     : settings_(settings),
       control_(settings, seed),
@@ -30,7 +30,7 @@
     for (const ClassSettings& named : settings_.classes) replies_.push_back({.service_class = named.name});
 }
 
-void Gatekeeper::take(const Settings& settings, const Bounds& bounds) {
+void Gatekeeper::apply_settings(const Settings& settings, const Bounds& bounds) {
     settings_ = settings;
     control_.take(settings);
     bounds_ = bounds;
@@ -67,11 +67,11 @@
     timer.reset();
 }
 
-std::size_t Gatekeeper::entries() const {
+std::size_t Gatekeeper::table_entries() const {
     return calls_.size() + exchanges_.size() + due_.size() + owed_.size() + control_.entries();
 }
 
-void Gatekeeper::run_due() {
+void Gatekeeper::run_timers() {
     while (!due_.empty() && due_.begin()->first <= time_()) {
         const Due next = std::move(due_.begin()->second);
         due_.erase(due_.begin());
@@ -89,7 +89,7 @@
     if (at == calls_.end() || at->second.phase != Phase::out || at->second.attempts != timer.attempt) return;
     at->second.time_out.reset();
     ++counters_.timed_out;
-    switches_.give_up(at->second.at, at->first);
+    switches_.cancel(at->second.at, at->first);
     end_attempt(at, Outcome::timed_out, Cause::none, {});
 }
 
@@ -103,7 +103,7 @@
     CallerLink* const link = at->second.link;
     const std::string service_class = at->second.service_class;
     abandon(at);
-    refuse_or_fail(link, timer.call, service_class, Ending::failed);
+    refuse_or_fail(link, timer.call, service_class, ReleaseReason::failed);
 }
 
 // ---- Its actions -----------------------------------------------------------------------------------
@@ -145,22 +145,22 @@
                                .service_class = call.service_class,
                                .number = call.number,
                                .description = call.description,
-                               .wait = wait,
+                               .time_limit = wait,
                                .destination = call.destination,
                                .width = call.width,
-                               .again = call.again,
+                               .was_cut = call.again,
                                .redial = call.redial});
 }
 
 void Gatekeeper::act(const Refuse& action) {
     // The pause that the module may advise has no place in this protocol's messages.
     ++counters_.refused;
-    final_answer(action.call, Ending::refused);
+    final_answer(action.call, ReleaseReason::refused);
 }
 
 void Gatekeeper::act(const Fail& action) {
     ++counters_.failed;
-    final_answer(action.call, Ending::failed);
+    final_answer(action.call, ReleaseReason::failed);
 }
 
 void Gatekeeper::act(const Cancel& action) {
@@ -168,7 +168,7 @@
     if (at == calls_.end() || at->second.phase != Phase::out || at->second.attempts != action.attempt + 1)
         return;
     ++counters_.cancelled;
-    switches_.give_up(at->second.at, at->first);
+    switches_.cancel(at->second.at, at->first);
     end_attempt(at, Outcome::cancelled, Cause::none, {});
 }
 
@@ -180,10 +180,10 @@
     if (note_) note_(action.text);
 }
 
-void Gatekeeper::final_answer(const CallId& id, Ending ending) {
+void Gatekeeper::final_answer(const CallId& id, ReleaseReason ending) {
     const auto at = calls_.find(id);
     if (at == calls_.end() || at->second.phase == Phase::standing) return;
-    if (at->second.phase == Phase::out) switches_.give_up(at->second.at, id);
+    if (at->second.phase == Phase::out) switches_.cancel(at->second.at, id);
     CallerLink* const link = at->second.link;
     const std::string service_class = std::move(at->second.service_class);
     settle_answer(at->second);
@@ -192,9 +192,9 @@
 }
 
 void Gatekeeper::refuse_or_fail(CallerLink* link, const CallId& id, std::string_view service_class,
-                                Ending ending) {
+                                ReleaseReason ending) {
     if (!link) return;
-    count(service_class, ending == Ending::refused ? &Replies::refused : &Replies::failed);
+    count(service_class, ending == ReleaseReason::refused ? &Replies::refused : &Replies::failed);
     link->release(id, ending);
 }
 
@@ -207,7 +207,7 @@
 void Gatekeeper::settle_answer(Call& call) {
     unschedule(call.answer_due);
     unschedule(call.time_out);
-    if (call.link) --call.link->use.open;
+    if (call.link) --call.link->usage.open_set_ups;
     --unanswered_;
     held_ -= call.description->size();
     call.description = nullptr;
@@ -216,11 +216,12 @@
 
 // ---- Callers ---------------------------------------------------------------------------------------
 
-void Gatekeeper::offered(CallerLink& link, const Offer& offer) {
+void Gatekeeper::on_set_up(CallerLink& link, const SetUpRequest& offer) {
     if (const auto at = calls_.find(offer.call); at != calls_.end()) {
         ++counters_.repeated;
         // On the call's own connection its one answer will do. Elsewhere somebody else waits for an answer.
-        if (at->second.link != &link) refuse_or_fail(&link, offer.call, offer.service_class, Ending::failed);
+        if (at->second.link != &link)
+            refuse_or_fail(&link, offer.call, offer.service_class, ReleaseReason::failed);
         return;
     }
     ++counters_.set_ups;
@@ -230,28 +231,28 @@
                                     [&](const ClassSettings& c) { return c.name == offer.service_class; });
     // A drain's refusals are for connections that never pause: each is to have its last answer and be closed.
     const bool full =
-        takes_none() || at_the_bound() || held_ + offer.description.size() > bounds_.held ||
+        takes_none() || at_the_bound() || held_ + offer.description.size() > bounds_.max_description_bytes ||
         (settings_.max_open_calls > 0 && unanswered_ >= static_cast<std::size_t>(settings_.max_open_calls));
     if (named == settings_.classes.end() || !makes_sense(offer, *named) || full) {
         ++(full ? counters_.refused : counters_.failed);
         return refuse_or_fail(&link, offer.call, offer.service_class,
-                              full ? Ending::refused : Ending::failed);
+                              full ? ReleaseReason::refused : ReleaseReason::failed);
     }
     Call& call = calls_[offer.call];
     ++unanswered_;
     call.link = &link;
-    ++link.use.open;
+    ++link.usage.open_set_ups;
     call.origin = link.origin();
     call.destination = offer.destination;
     call.transit = offer.transit;
-    call.again = offer.again;
+    call.again = offer.was_cut;
     call.redial = offer.redial;
     call.width = offer.width;
     call.service_class = offer.service_class;
     call.number = offer.number;
     call.description = std::make_shared<const std::string>(offer.description);
     held_ += offer.description.size();
-    const Duration patience = std::min(offer.patience, end_ - time_());
+    const Duration patience = std::min(offer.time_left, end_ - time_());
     call.answer_by = time_() + patience;
     call.answer_due = schedule(call.answer_by + kOverdueSlack, AnswerDue{offer.call});
 
@@ -263,7 +264,7 @@
     (offer.transit ? event.previous : event.advised) = offer.via;
     event.patience = patience;
     event.transit = offer.transit;
-    event.was_cut = offer.again;
+    event.was_cut = offer.was_cut;
     event.redial = offer.redial;
     event.number = call.number;
     tell(std::move(event));
@@ -271,14 +272,14 @@
 
 // Guards against set-ups that no carrier switch can use, and that would wait here in vain: a call takes as
 // many circuits as its class is wide, and somebody waits for it.
-bool Gatekeeper::makes_sense(const Offer& offer, const ClassSettings& service_class) {
-    return offer.width == service_class.width && offer.destination >= 0 && offer.patience > Duration::zero();
+bool Gatekeeper::makes_sense(const SetUpRequest& offer, const ClassSettings& service_class) {
+    return offer.width == service_class.width && offer.destination >= 0 && offer.time_left > Duration::zero();
 }
 
-void Gatekeeper::released(CallerLink& link, const CallId& id) {
+void Gatekeeper::on_release(CallerLink& link, const CallId& id) {
     const auto at = calls_.find(id);
     if (at == calls_.end()) {  // over already, and told twice
-        if (successor_) successor_->released(id);
+        if (successor_) successor_->hand_over_release(id);
         return;
     }
     // A set-up is given up by whoever waits for it; a call that stands belongs to no connection.
@@ -297,7 +298,7 @@
     Call call = std::move(at->second);
     calls_.erase(at);
     settle_answer(call);
-    if (call.phase == Phase::out) switches_.give_up(call.at, id);
+    if (call.phase == Phase::out) switches_.cancel(call.at, id);
     tell(CallAbandoned{id});
     if (call.phase == Phase::out)
         tell(AttemptEnded{.call = id,
@@ -312,7 +313,7 @@
     if (!drain_) drain_ = Drain{.since = time_(), .heard = {}};
 }
 
-bool Gatekeeper::sends_away() const {
+bool Gatekeeper::can_close_callers() const {
     if (!drain_) return false;
     return time_() >= std::min(drain_->since + kNobodyAsks,
                                drain_->heard.value_or(Instant::max() - kFrontTurns) + kFrontTurns);
@@ -322,7 +323,7 @@
     return drain_ && time_() - drain_->since >= kNoMoreSetUps;
 }
 
-bool Gatekeeper::ready() {
+bool Gatekeeper::is_ready() {
     if (drain_ && !drain_->heard) drain_->heard = time_();
     if (drain_) return false;
     if (successor_) return true;
@@ -335,12 +336,12 @@
            });
 }
 
-void Gatekeeper::caller_up(CallerLink& link) {
+void Gatekeeper::on_caller_connected(CallerLink& link) {
     links_.push_back(&link);
     for (const Owed& owed : std::exchange(owed_, {})) link.release(owed.call, owed.ending);
 }
 
-void Gatekeeper::caller_gone(CallerLink& link) {
+void Gatekeeper::on_caller_disconnected(CallerLink& link) {
     std::erase(links_, &link);
     std::vector<CallId> open;
     for (auto& [id, call] : calls_) {
@@ -358,7 +359,7 @@
 
 // A standing call belongs to no connection: its release goes on its own one, else on the newest of the same
 // caller, else on any, else on the next that is opened.
-void Gatekeeper::release_caller(const CallId& id, const Call& call, Ending ending) {
+void Gatekeeper::release_caller(const CallId& id, const Call& call, ReleaseReason ending) {
     CallerLink* link = call.link;
     if (!link && !links_.empty()) {
         const auto same = std::find_if(links_.rbegin(), links_.rend(), [&call](const CallerLink* other) {
@@ -381,13 +382,13 @@
         CallerLink* const link = at->second.link;
         const std::string service_class = at->second.service_class;
         abandon(at);  // the module hears of it too
-        refuse_or_fail(link, id, service_class, Ending::refused);
+        refuse_or_fail(link, id, service_class, ReleaseReason::refused);
     }
 }
 
 // ---- Carrier switches ------------------------------------------------------------------------------
 
-void Gatekeeper::stands(const ExchangeId& exchange, const CallId& id, std::string_view description) {
+void Gatekeeper::on_answer(const ExchangeId& exchange, const CallId& id, std::string_view description) {
     const auto at = calls_.find(id);
     if (at == calls_.end() || at->second.phase == Phase::waiting || at->second.at != exchange) {
         // The answer crossed a give-up: the call may stand there, with nobody at this end.
@@ -400,7 +401,7 @@
     settle_answer(call);
     ++counters_.stood;
     ++counters_.answered;
-    if (call.link) ++call.link->use.standing;
+    if (call.link) ++call.link->usage.standing_calls;
     if (call.link) {
         count(call.service_class, &Replies::served);
         call.link->answer(id, std::make_shared<const std::string>(description));
@@ -409,12 +410,12 @@
     if (successor_) pass_on(at);
 }
 
-void Gatekeeper::ended(const ExchangeId& exchange, const CallId& id, Outcome outcome, Cause cause,
-                       const LoadReport& load) {
+void Gatekeeper::on_call_ended(const ExchangeId& exchange, const CallId& id, Outcome outcome, Cause cause,
+                               const LoadReport& load) {
     const auto at = calls_.find(id);
     if (at == calls_.end() || at->second.phase == Phase::waiting || at->second.at != exchange) {
-        if (at == calls_.end() && successor_) successor_->ended(exchange, id, outcome);
-        return group_state(exchange, load);  // late; its report is still news
+        if (at == calls_.end() && successor_) successor_->hand_over_end(exchange, id, outcome);
+        return on_group_state(exchange, load);  // late; its report is still news
     }
     if (at->second.phase == Phase::standing)
         return end_standing(at, outcome == Outcome::ended ? Outcome::ended : Outcome::reset, load, true);
@@ -445,20 +446,20 @@
                       .load = load});
 }
 
-void Gatekeeper::group_state(const ExchangeId& exchange, const LoadReport& load) {
+void Gatekeeper::on_group_state(const ExchangeId& exchange, const LoadReport& load) {
     if (load.free_circuits < 0 || load.group_size < 0) return;
     ++counters_.group_states;
     if (const auto at = exchanges_.find(exchange); at != exchanges_.end()) at->second.group_known = true;
     tell(ExchangeReport{.exchange = exchange, .load = load});
 }
 
-void Gatekeeper::process_dead(const ExchangeId& exchange) {
+void Gatekeeper::on_process_failed(const ExchangeId& exchange) {
     cut_standing(exchange);
 }
 
 // ---- The list --------------------------------------------------------------------------------------
 
-void Gatekeeper::list(const ListEvent& event) {
+void Gatekeeper::apply_list(const ListEvent& event) {
     ++counters_.list_events;
     ExchangeList told{.kind = event.kind, .version = event.version, .entries = {}};
     std::set<ExchangeId> dead;
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -19,79 +19,80 @@
 
 class Gatekeeper final : public CallerEvents, public SwitchEvents, public CallTable {
    public:
-    using Time = std::function<Instant()>;
+    using Clock = std::function<Instant()>;
 
     // Beyond these set-ups are refused at once, with the cause that makes trying again harmless.
     struct Bounds {
-        std::size_t held = 32 * 1024 * 1024;  // bytes of descriptions of calls without an answer
-        std::size_t calls = 1'000'000;        // without an answer and standing together
+        std::size_t max_description_bytes =
+            32 * 1024 * 1024;               // bytes of descriptions of calls without an answer
+        std::size_t max_calls = 1'000'000;  // without an answer and standing together
     };
-    Gatekeeper(const Settings& settings, std::uint64_t seed, Time time, Switches& switches,
+    Gatekeeper(const Settings& settings, std::uint64_t seed, Clock time, Switches& switches,
                Counters& counters, const Bounds& bounds);
 
     // Whoever runs the timers hears of each earlier moment.
-    void on_schedule(std::function<void(Instant)> earlier) { earlier_ = std::move(earlier); }
-    void on_note(std::function<void(const std::string&)> note) { note_ = std::move(note); }
+    void set_timer_handler(std::function<void(Instant)> earlier) { earlier_ = std::move(earlier); }
+    void set_note_handler(std::function<void(const std::string&)> note) { note_ = std::move(note); }
 
-    void list(const ListEvent& event);
-    void run_due();
+    void apply_list(const ListEvent& event);
+    void run_timers();
 
     // New settings in service: calls, timers and what was learned go on.
-    bool can_take(const Settings& settings) const { return control_.can_take(settings); }
-    void take(const Settings& settings, const Bounds& bounds);
+    bool can_apply(const Settings& settings) const { return control_.can_take(settings); }
+    void apply_settings(const Settings& settings, const Bounds& bounds);
 
     // From the front's tests on nothing new is wanted. What comes all the same is answered by `end`.
-    void leave(Instant end) { leaving_ = true, end_ = end; }
+    void begin_shutdown(Instant end) { leaving_ = true, end_ = end; }
 
     // The front is to send callers elsewhere, until the drain ends. Calls that were taken go on as ever.
     void drain();
     void undrain() { drain_.reset(); }
     // The front has had the time to turn away: callers' connections may be closed where nothing is open.
-    bool sends_away() const;
+    bool can_close_callers() const;
 
     // Another process takes over: it gets the calls that stand and those that will, and this one answers
     // what it took. Its front tests pass to the end, for the front sees one gatekeeper. Null: no more.
-    void give_way_to(Successor* successor);
+    void hand_over_to(Successor* successor);
     // What the process before this one passes on.
     // `link`: where its release goes, if it is not a caller's connection.
-    void take_standing(const ExchangeId& at, const CallId& call, std::string_view origin,
-                       CallerLink* link = nullptr);
-    void take_release(const CallId& call);
+    void accept_standing(const ExchangeId& at, const CallId& call, std::string_view origin,
+                         CallerLink* link = nullptr);
+    void accept_release(const CallId& call);
 
     struct OldCall {
         CallId call;
-        ExchangeId at;
+        ExchangeId exchange;
         Duration age;  // since its set-up went there
     };
-    std::vector<OldCall> oldest(std::size_t most) const;  // of those that stand, the oldest first
+    std::vector<OldCall> oldest_calls(std::size_t most) const;  // of those that stand, the oldest first
 
-    std::size_t unanswered() const { return unanswered_; }
+    std::size_t unanswered_calls() const { return unanswered_; }
     std::size_t calls() const { return calls_.size(); }
     struct Replies {  // final answers passed on to callers of one class
         std::string service_class;
         std::uint64_t served = 0, refused = 0, failed = 0;
     };
     const std::vector<Replies>& replies() const { return replies_; }
-    std::size_t listed() const { return exchanges_.size(); }
-    std::size_t avoided() const { return control_.avoided(); }  // of those listed, by the module
+    std::size_t listed_exchanges() const { return exchanges_.size(); }
+    std::size_t avoided_exchanges() const { return control_.avoided(); }  // of those listed, by the module
     // In all tables, the module's too: each is bounded by the calls and exchanges in hand.
-    std::size_t entries() const;
+    std::size_t table_entries() const;
     // Every call still without its final answer gets it now.
     void refuse_all();
 
-    void offered(CallerLink& link, const Offer& offer) override;
-    void released(CallerLink& link, const CallId& call) override;
-    bool ready() override;
-    void caller_up(CallerLink& link) override;
-    void caller_gone(CallerLink& link) override;
+    void on_set_up(CallerLink& link, const SetUpRequest& offer) override;
+    void on_release(CallerLink& link, const CallId& call) override;
+    bool is_ready() override;
+    void on_caller_connected(CallerLink& link) override;
+    void on_caller_disconnected(CallerLink& link) override;
 
-    void stands(const ExchangeId& at, const CallId& call, std::string_view description) override;
-    void ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
-               const LoadReport& load) override;
-    void group_state(const ExchangeId& at, const LoadReport& load) override;
-    void process_dead(const ExchangeId& at) override;
+    void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) override;
+    void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+                       const LoadReport& load) override;
+    void on_group_state(const ExchangeId& at, const LoadReport& load) override;
+    void on_process_failed(const ExchangeId& at) override;
 
-    const ExchangeId* whereabouts(const CallId& call) const override;
+    const ExchangeId* exchange_of(const CallId& call) const override;
     std::string_view origin_of(const CallId& call) const override;
     std::vector<CallId> calls_at(const ExchangeId& at) const override;
     std::vector<CallId> calls_from(const CallerLink& link) const override;
@@ -163,22 +164,23 @@
     bool may_set_up(const Call& call, const ExchangeId& at) const;
     void end_attempt(Calls::iterator at, Outcome outcome, Cause cause, const LoadReport& load);
     void end_standing(Calls::iterator at, Outcome outcome, const LoadReport& load, bool tell_caller);
-    void final_answer(const CallId& call, Ending ending);
+    void final_answer(const CallId& call, ReleaseReason ending);
     void abandon(Calls::iterator at);
-    void release_caller(const CallId& id, const Call& call, Ending ending);
+    void release_caller(const CallId& id, const Call& call, ReleaseReason ending);
     void settle_answer(Call& call);
     void pass_on(Calls::iterator standing);
     void release_standing(Calls::iterator at);
     // Passes the final answer on where somebody is left to hear it, and counts it there.
-    void refuse_or_fail(CallerLink* link, const CallId& id, std::string_view service_class, Ending ending);
+    void refuse_or_fail(CallerLink* link, const CallId& id, std::string_view service_class,
+                        ReleaseReason ending);
     void count(std::string_view service_class, std::uint64_t Replies::*reply);
-    static bool makes_sense(const Offer& offer, const ClassSettings& service_class);
+    static bool makes_sense(const SetUpRequest& offer, const ClassSettings& service_class);
     void cut_standing(const ExchangeId& at);
     bool at_the_bound();  // of calls in the table
 
     Settings settings_;
     CallControl control_;
-    Time time_;
+    Clock time_;
     Switches& switches_;
     Counters& counters_;
     std::vector<Replies> replies_;  // by class, in the order of the settings
@@ -194,7 +196,7 @@
     std::vector<CallerLink*> links_;
     struct Owed {
         CallId call;
-        Ending ending;
+        ReleaseReason ending;
     };
     std::vector<Owed> owed_;  // releases for which no caller's connection was open
     Timers due_;
--- a/src/calls/routes.hpp
+++ b/src/calls/routes.hpp
@@ -11,11 +11,11 @@
    public:
     explicit Routes(Switches& otherwise) : otherwise_(otherwise) {}
 
-    void add(const ExchangeId& at, Switches& by) { by_.insert_or_assign(at, &by); }
-    bool has(const ExchangeId& at) const { return by_.count(at) > 0; }
+    void add_route(const ExchangeId& at, Switches& by) { by_.insert_or_assign(at, &by); }
+    bool has_route(const ExchangeId& at) const { return by_.count(at) > 0; }
 
-    void set_up(const ExchangeId& at, const Forward& forward) override { to(at).set_up(at, forward); }
-    void give_up(const ExchangeId& at, const CallId& call) override { to(at).give_up(at, call); }
+    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override { to(at).set_up(at, forward); }
+    void cancel(const ExchangeId& at, const CallId& call) override { to(at).cancel(at, call); }
     void release(const ExchangeId& at, const CallId& call) override { to(at).release(at, call); }
 
    private:
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -15,31 +15,31 @@
 
 // ---- Callers -------------------------------------------------------------------------------------
 
-struct Offer {  // a set-up, as views into the bytes that it came in
+struct SetUpRequest {  // a set-up, as views into the bytes that it came in
     CallId call{};
     std::string_view service_class{};
     std::string_view number{};
     std::string_view description{};
-    Duration patience{};
+    Duration time_left{};
     int destination = kNowhere;
     int width = 0;
     int via = kNowhere;
-    bool transit = false, again = false, redial = false;
+    bool transit = false, was_cut = false, redial = false;
 };
 
-enum class Ending { refused, failed, ended, cut };  // what a release tells the caller
+enum class ReleaseReason { refused, failed, ended, cut };  // what a release tells the caller
 
 // One connection of a caller, as the call table sees it.
 class CallerLink {
    public:
-    struct Use {
-        int open = 0;      // set-ups that are owed a final answer there
-        int standing = 0;  // calls that came on it
+    struct Usage {
+        int open_set_ups = 0;    // set-ups that are owed a final answer there
+        int standing_calls = 0;  // calls that came on it
     };
-    Use use;  // kept by the call table
+    Usage usage;  // kept by the call table
 
     virtual void answer(const CallId& call, Description description) = 0;
-    virtual void release(const CallId& call, Ending ending) = 0;
+    virtual void release(const CallId& call, ReleaseReason ending) = 0;
     virtual std::string_view origin() const = 0;  // the same for all connections of one caller
 
    protected:
@@ -48,11 +48,11 @@
 
 class CallerEvents {
    public:
-    virtual void offered(CallerLink& link, const Offer& offer) = 0;
-    virtual void released(CallerLink& link, const CallId& call) = 0;  // given up, or over
-    virtual bool ready() = 0;                                         // what the front is told when it asks
-    virtual void caller_up(CallerLink& link) = 0;
-    virtual void caller_gone(CallerLink& link) = 0;
+    virtual void on_set_up(CallerLink& link, const SetUpRequest& offer) = 0;
+    virtual void on_release(CallerLink& link, const CallId& call) = 0;  // given up, or over
+    virtual bool is_ready() = 0;                                        // what the front is told when it asks
+    virtual void on_caller_connected(CallerLink& link) = 0;
+    virtual void on_caller_disconnected(CallerLink& link) = 0;
 
    protected:
     ~CallerEvents() = default;
@@ -60,22 +60,22 @@
 
 // ---- Carrier switches ------------------------------------------------------------------------------
 
-struct Forward {  // a set-up on its way to a carrier switch
+struct OutgoingSetUp {  // a set-up on its way to a carrier switch
     CallId call{};
     std::string service_class{};
     std::string number{};
     Description description{};
-    Duration wait{};
+    Duration time_limit{};
     // For who signals on to a further hub; a carrier switch finds its way by the number.
     int destination = kNowhere;
     int width = 1;
-    bool again = false, redial = false;
+    bool was_cut = false, redial = false;
 };
 
 class Switches {
    public:
-    virtual void set_up(const ExchangeId& at, const Forward& forward) = 0;
-    virtual void give_up(const ExchangeId& at, const CallId& call) = 0;  // before its answer
+    virtual void set_up(const ExchangeId& at, const OutgoingSetUp& forward) = 0;
+    virtual void cancel(const ExchangeId& at, const CallId& call) = 0;   // before its answer
     virtual void release(const ExchangeId& at, const CallId& call) = 0;  // after its answer
 
    protected:
@@ -84,11 +84,11 @@
 
 class SwitchEvents {
    public:
-    virtual void stands(const ExchangeId& at, const CallId& call, std::string_view description) = 0;
-    virtual void ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
-                       const LoadReport& load) = 0;
-    virtual void group_state(const ExchangeId& at, const LoadReport& load) = 0;
-    virtual void process_dead(const ExchangeId& at) = 0;  // its standing calls are cut
+    virtual void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) = 0;
+    virtual void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+                               const LoadReport& load) = 0;
+    virtual void on_group_state(const ExchangeId& at, const LoadReport& load) = 0;
+    virtual void on_process_failed(const ExchangeId& at) = 0;  // its standing calls are cut
 
    protected:
     ~SwitchEvents() = default;
@@ -100,7 +100,7 @@
 class CallTable {
    public:
     // Null: no such call. Empty: it is at no exchange just now.
-    virtual const ExchangeId* whereabouts(const CallId& call) const = 0;
+    virtual const ExchangeId* exchange_of(const CallId& call) const = 0;
     virtual std::string_view origin_of(const CallId& call) const = 0;
     virtual std::vector<CallId> calls_at(const ExchangeId& at) const = 0;
     virtual std::vector<CallId> calls_from(const CallerLink& link) const = 0;
@@ -114,9 +114,9 @@
 // Calls that stand are its own, whichever process they were set up by.
 class Successor {
    public:
-    virtual void stands(const ExchangeId& at, const CallId& call, std::string_view origin) = 0;
-    virtual void ended(const ExchangeId& at, const CallId& call, Outcome outcome) = 0;
-    virtual void released(const CallId& call) = 0;  // by its caller
+    virtual void hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) = 0;
+    virtual void hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) = 0;
+    virtual void hand_over_release(const CallId& call) = 0;  // by its caller
 
    protected:
     ~Successor() = default;
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -23,9 +23,10 @@
     const CallId id = at->first;
     const Call call = std::move(at->second);
     calls_.erase(at);
-    if (call.link) --call.link->use.standing;
+    if (call.link) --call.link->usage.standing_calls;
     ++(outcome == Outcome::reset ? counters_.cut : counters_.ended);
-    if (tell_caller) release_caller(id, call, outcome == Outcome::reset ? Ending::cut : Ending::ended);
+    if (tell_caller)
+        release_caller(id, call, outcome == Outcome::reset ? ReleaseReason::cut : ReleaseReason::ended);
     tell(AttemptEnded{.call = id,
                       .attempt = call.attempts - 1,
                       .exchange = call.at,
@@ -45,7 +46,7 @@
 
 // ---- Their bound -----------------------------------------------------------------------------------
 
-std::vector<Gatekeeper::OldCall> Gatekeeper::oldest(std::size_t most) const {
+std::vector<Gatekeeper::OldCall> Gatekeeper::oldest_calls(std::size_t most) const {
     std::vector<OldCall> found;
     for (const auto& [id, call] : calls_)
         if (call.phase == Phase::standing) found.push_back({id, call.at, time_() - call.sent});
@@ -60,12 +61,12 @@
 // Guards the memory against calls whose end never comes. Whoever reads the log hears of the oldest, now and
 // then: they are the likeliest to be over.
 bool Gatekeeper::at_the_bound() {
-    if (calls_.size() < bounds_.calls) return false;
+    if (calls_.size() < bounds_.max_calls) return false;
     if (note_ && time_() >= next_bound_note_) {
         next_bound_note_ = time_() + kBoundNotes;
         std::string text = "the table is full with " + std::to_string(calls_.size()) + " calls; the oldest:";
-        for (const OldCall& old : oldest(3))
-            text += " " + old.call + " at " + old.at + " for " +
+        for (const OldCall& old : oldest_calls(3))
+            text += " " + old.call + " at " + old.exchange + " for " +
                     std::to_string(std::chrono::duration_cast<std::chrono::seconds>(old.age).count()) + " s;";
         note_(text);
     }
@@ -74,7 +75,7 @@
 
 // ---- Looked into -----------------------------------------------------------------------------------
 
-const ExchangeId* Gatekeeper::whereabouts(const CallId& call) const {
+const ExchangeId* Gatekeeper::exchange_of(const CallId& call) const {
     const auto at = calls_.find(call);
     static const ExchangeId kNone;
     if (at == calls_.end()) return nullptr;
@@ -102,7 +103,7 @@
 
 // ---- Another process -------------------------------------------------------------------------------
 
-void Gatekeeper::give_way_to(Successor* successor) {
+void Gatekeeper::hand_over_to(Successor* successor) {
     successor_ = successor;
     std::vector<CallId> standing;
     for (const auto& [id, call] : calls_)
@@ -117,14 +118,14 @@
     const CallId id = standing->first;
     const Call call = std::move(standing->second);
     calls_.erase(standing);
-    if (call.link) --call.link->use.standing;
-    successor_->stands(call.at, id, call.origin);
+    if (call.link) --call.link->usage.standing_calls;
+    successor_->hand_over_call(call.at, id, call.origin);
     tell(AttemptEnded{.call = id, .attempt = call.attempts - 1, .exchange = call.at, .final = true});
 }
 
-void Gatekeeper::take_standing(const ExchangeId& at, const CallId& id, std::string_view origin,
-                               CallerLink* link) {
-    if (successor_) return successor_->stands(at, id, origin);  // upgraded again meanwhile
+void Gatekeeper::accept_standing(const ExchangeId& at, const CallId& id, std::string_view origin,
+                                 CallerLink* link) {
+    if (successor_) return successor_->hand_over_call(at, id, origin);  // upgraded again meanwhile
     const auto [entry, fresh] = calls_.try_emplace(id);
     if (!fresh) return;
     ++counters_.calls_taken_over;
@@ -133,17 +134,17 @@
     call.at = at;
     call.origin = origin;
     call.link = link;
-    if (link) ++link->use.standing;
+    if (link) ++link->usage.standing_calls;
     call.sent = time_();
     call.attempts = 1;
     // The machine has gone, as this process knows already: the call was cut with it.
     if (!exchanges_.count(at)) end_standing(entry, Outcome::reset, {}, true);
 }
 
-void Gatekeeper::take_release(const CallId& id) {
+void Gatekeeper::accept_release(const CallId& id) {
     const auto at = calls_.find(id);
     if (at != calls_.end() && at->second.phase == Phase::standing) return release_standing(at);
-    if (at == calls_.end() && successor_) successor_->released(id);
+    if (at == calls_.end() && successor_) successor_->hand_over_release(id);
 }
 
 }  // namespace nettlestall::calls
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -123,7 +123,7 @@
    public:
     explicit Callers(Hub& hub) : hub_(hub) {}
     void answer(const CallId& call, Description) override { hub_.heard_answer(call); }
-    void release(const CallId& call, Ending ending) override { hub_.heard_release(call, ending); }
+    void release(const CallId& call, ReleaseReason ending) override { hub_.heard_release(call, ending); }
     std::string_view origin() const override { return "callers"; }
 
    private:
@@ -134,8 +134,8 @@
 class Hub::Lines final : public Switches {
    public:
     explicit Lines(Hub& hub) : hub_(hub) {}
-    void set_up(const ExchangeId&, const Forward& forward) override { hub_.line_set_up(forward.call); }
-    void give_up(const ExchangeId&, const CallId& call) override { hang_up(call); }
+    void set_up(const ExchangeId&, const OutgoingSetUp& forward) override { hub_.line_set_up(forward.call); }
+    void cancel(const ExchangeId&, const CallId& call) override { hang_up(call); }
     void release(const ExchangeId&, const CallId& call) override { hang_up(call); }
 
    private:
@@ -159,9 +159,9 @@
           calls_alarm(hub.simulation_, [&hub](std::function<void()> work) { hub.do_awake(std::move(work)); }),
           trunk_alarm(hub.simulation_,
                       [&hub](std::function<void()> work) { hub.do_awake(std::move(work)); }) {
-        calls_alarm.on_ring([this] { gatekeeper.run_due(); });
+        calls_alarm.on_ring([this] { gatekeeper.run_timers(); });
         trunk_alarm.on_ring([this] { front.run_due(); });
-        gatekeeper.on_schedule([this](Instant at) { calls_alarm.set(at); });
+        gatekeeper.set_timer_handler([this](Instant at) { calls_alarm.set(at); });
         front.on_schedule([this](Instant at) { trunk_alarm.set(at); });
     }
 
@@ -224,9 +224,9 @@
     lines.entry.number = settings_.number;
     lines.entry.lines_only = true;
     for (const trunk::GroupSettings& group : settings_.groups)
-        p.routes.add(p.front.add(group).settings().exchange, p.front);
+        p.routes.add_route(p.front.add(group).settings().exchange, p.front);
     p.front.begin(life_, with_ledger ? &ledger_ : nullptr);
-    p.gatekeeper.list(p.front.with_hubs(list));
+    p.gatekeeper.apply_list(p.front.with_hubs(list));
     lines_tell_room();
     if (with_ledger) {
         std::vector<trunk::LedgerCall> calls;
@@ -234,7 +234,7 @@
             for (trunk::LedgerCall& call : trunk::whole(places)) calls.push_back(std::move(call));
         p.front.restore(calls, [&p](const trunk::LedgerCall& known, CallerLink* link) {
             const ExchangeId at = known.outgoing ? p.front.find(known.group)->settings().exchange : known.at;
-            p.gatekeeper.take_standing(at, known.call, known.origin, link);
+            p.gatekeeper.accept_standing(at, known.call, known.origin, link);
         });
     }
     // Callers and lines that stand here have nobody left who would tell them of an end.
@@ -244,7 +244,7 @@
         for (auto& [id, call] : truth_.calls)
             if (call.from == settings_.number || call.to == settings_.number) call.damaged = true;
     }
-    p.gatekeeper.caller_up(p.callers);
+    p.gatekeeper.on_caller_connected(p.callers);
     for (const CallId& call : std::exchange(caller_releases_, {})) caller_hangs_up(call);
     for (const CallId& call : std::exchange(line_ends_, {})) line_hangs_up(call);
 }
@@ -273,12 +273,12 @@
     known.to = to;
     known.placed = simulation_.now();
     ++truth_.offered;
-    Offer offer;
+    SetUpRequest offer;
     offer.call = call;
     offer.service_class = wide ? "live-board" : "move";
     offer.number = call;
     offer.description = "offer";
-    offer.patience = settings_.patience;
+    offer.time_left = settings_.patience;
     offer.destination = to;
     offer.width = wide ? settings_.wide : 1;
     if (chance_.once_in(0.04)) {
@@ -288,11 +288,11 @@
                 if (life != life_ || waiting.caller != TrueCall::Caller::waits) return;
                 waiting.caller = TrueCall::Caller::over;
                 waiting.given_up = true;
-                process_->gatekeeper.released(process_->callers, call);
+                process_->gatekeeper.on_release(process_->callers, call);
             });
         });
     }
-    process_->gatekeeper.offered(process_->callers, offer);
+    process_->gatekeeper.on_set_up(process_->callers, offer);
 }
 
 void Hub::heard_answer(const CallId& call) {
@@ -309,11 +309,11 @@
     });
 }
 
-void Hub::heard_release(const CallId& call, Ending ending) {
+void Hub::heard_release(const CallId& call, ReleaseReason ending) {
     TrueCall& known = truth_.calls[call];
-    if (ending == Ending::refused || ending == Ending::failed) {
+    if (ending == ReleaseReason::refused || ending == ReleaseReason::failed) {
         if (++known.finals > 1) ++truth_.answers_double;
-    } else if (ending == Ending::cut && known.live()) {
+    } else if (ending == ReleaseReason::cut && known.live()) {
         ++truth_.cut;
     }
     known.caller = TrueCall::Caller::over;
@@ -325,7 +325,7 @@
     if (!process_) return caller_releases_.push_back(call);
     if (stalled()) return simulation_.at(stalled_until_, [this, call] { caller_hangs_up(call); });
     known.caller = TrueCall::Caller::over;
-    process_->gatekeeper.released(process_->callers, call);
+    process_->gatekeeper.on_release(process_->callers, call);
 }
 
 // ---- Lines -------------------------------------------------------------------------------------------
@@ -336,15 +336,15 @@
     simulation_.after(chance_.between(kAnswerLeast, kAnswerMost), [this, call, fate, life = life_] {
         do_awake([this, call, fate, life] {
             if (life != life_) return;
-            const ExchangeId* at = process_->gatekeeper.whereabouts(call);
+            const ExchangeId* at = process_->gatekeeper.exchange_of(call);
             if (!at || *at != kLines) return;
             if (fate > 0.95)
-                return process_->gatekeeper.ended(kLines, call, Outcome::failed, Cause::none, {});
+                return process_->gatekeeper.on_call_ended(kLines, call, Outcome::failed, Cause::none, {});
             if (fate > 0.90)
-                return process_->gatekeeper.ended(kLines, call, Outcome::turned_back, Cause::processor_full,
-                                                  {});
+                return process_->gatekeeper.on_call_ended(kLines, call, Outcome::turned_back,
+                                                          Cause::processor_full, {});
             truth_.calls[call].line_stands = true;
-            process_->gatekeeper.stands(kLines, call, "answer");
+            process_->gatekeeper.on_answer(kLines, call, "answer");
         });
     });
 }
@@ -355,7 +355,7 @@
     if (!process_) return line_ends_.push_back(call);
     if (stalled()) return simulation_.at(stalled_until_, [this, call] { line_hangs_up(call); });
     known.line_stands = false;
-    process_->gatekeeper.ended(kLines, call, Outcome::ended, Cause::none, {});
+    process_->gatekeeper.on_call_ended(kLines, call, Outcome::ended, Cause::none, {});
     lines_tell_room();
 }
 
@@ -363,7 +363,7 @@
 void Hub::lines_tell_room() {
     LoadReport room;
     room.free_circuits = room.group_size = kLineCircuits;
-    process_->gatekeeper.group_state(kLines, room);
+    process_->gatekeeper.on_group_state(kLines, room);
 }
 
 }  // namespace nettlestall::lab
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -93,7 +93,7 @@
     void do_awake(std::function<void()> work);
     void caller_hangs_up(const CallId& call);
     void heard_answer(const CallId& call);
-    void heard_release(const CallId& call, Ending ending);
+    void heard_release(const CallId& call, ReleaseReason ending);
     void line_set_up(const CallId& call);
     void lines_tell_room();
 
--- a/src/lab/live.cpp
+++ b/src/lab/live.cpp
@@ -41,11 +41,11 @@
 
 // Cuts what a connection brings into messages, in place.
 struct Reader {
-    Inbox inbox;
+    MessageReader inbox;
     std::function<void(const Message&)> take;
-    std::span<char> space() { return inbox.space(); }
-    bool fed(std::size_t bytes) {
-        return inbox.fed(bytes, [this](const Message& message) { return take(message), true; });
+    std::span<char> read_buffer() { return inbox.read_buffer(); }
+    bool consume(std::size_t bytes) {
+        return inbox.consume(bytes, [this](const Message& message) { return take(message), true; });
     }
 };
 
@@ -151,7 +151,8 @@
     // ---- Lines: every number answers soon, talks for a while and hangs up, or waits for the caller to
 
     static void tell_room(Hub& hub) {
-        hub.line->send(FrameBuilder(Type::group_state, "").text(Code::report, "x0:500;x1:500").done());
+        hub.line->send(
+            FrameBuilder(MessageType::group_state, "").text(ParameterCode::report, "x0:500;x1:500").build());
     }
 
     awaitable<void> serve_lines(Hub& hub) {
@@ -163,16 +164,17 @@
             tell_room(hub);
             hub.line_reader = {};
             hub.line_reader.take = [this, &hub](const Message& message) {
-                if (message.type == Type::release) tell_room(hub);
-                if (message.type == Type::set_up)
+                if (message.type == MessageType::release) tell_room(hub);
+                if (message.type == MessageType::set_up)
                     after(chance_.between(milliseconds(20), milliseconds(120)),
                           [this, &hub, call = message.call()] {
-                              hub.line->send(FrameBuilder(Type::answer, call)
-                                                 .done(std::make_shared<const std::string>("media")));
+                              hub.line->send(FrameBuilder(MessageType::answer, call)
+                                                 .build(std::make_shared<const std::string>("media")));
                               if (chance_.once_in(0.5))
                                   after(chance_.exponential(kHolds), [this, &hub, call] {
-                                      hub.line->send(
-                                          FrameBuilder(Type::release, call).cause(cause::kGivenUp).done());
+                                      hub.line->send(FrameBuilder(MessageType::release, call)
+                                                         .cause(cause::kNormalClearing)
+                                                         .build());
                                   });
                           });
             };
@@ -188,30 +190,31 @@
                       static_cast<unsigned long long>(++tally_.placed));
         const bool wide = chance_.once_in(kWideShare);
         tally_.finals[id] = 0;
-        hub.caller->send(FrameBuilder(Type::set_up, id)
-                             .text(Code::service_class, wide ? "live-board" : "move")
-                             .text(Code::patience, "2500")
-                             .text(Code::number, "7f3a")
-                             .text(Code::figures, "dest:" + std::to_string(to.number) +
-                                                      ";width:" + (wide ? "3" : "1") + ";via:-1")
-                             .done(std::make_shared<const std::string>("media offered")));
+        hub.caller->send(FrameBuilder(MessageType::set_up, id)
+                             .text(ParameterCode::service_class, wide ? "live-board" : "move")
+                             .text(ParameterCode::time_left, "2500")
+                             .text(ParameterCode::number, "7f3a")
+                             .text(ParameterCode::attributes, "dest:" + std::to_string(to.number) +
+                                                                  ";width:" + (wide ? "3" : "1") + ";via:-1")
+                             .build(std::make_shared<const std::string>("media offered")));
     }
 
     void heard(Hub& hub, const Message& message) {
         const CallId call = message.call();
         const auto known = tally_.finals.find(call);
         if (known == tally_.finals.end()) return;
-        if (message.type == Type::answer) {
+        if (message.type == MessageType::answer) {
             ++known->second, ++tally_.answered, ++tally_.standing;
             stands_[call] = true;
             after(3 * chance_.exponential(kHolds), [this, &hub, call] {
                 if (!stands_.erase(call)) return;  // the line has hung up before
                 --tally_.standing, ++tally_.ended;
-                hub.caller->send(FrameBuilder(Type::release, call).cause(cause::kGivenUp).done());
+                hub.caller->send(
+                    FrameBuilder(MessageType::release, call).cause(cause::kNormalClearing).build());
             });
-        } else if (message.type == Type::release && stands_.erase(call)) {
+        } else if (message.type == MessageType::release && stands_.erase(call)) {
             --tally_.standing, ++tally_.ended;
-        } else if (message.type == Type::release) {
+        } else if (message.type == MessageType::release) {
             ++known->second, ++tally_.turned_away;
         }
     }
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-class Clients::Client final : public protocol::CallerSession::Out {
+class Clients::Client final : public protocol::CallerSession::Output {
    public:
     Client(tcp::socket socket, CallerEvents& events, Counters& counters)
         : connection_(std::make_shared<Connection>(std::move(socket), counters)),
@@ -42,25 +42,25 @@
     void send(protocol::Frame frame) override { connection_->send(std::move(frame)); }
     Connection& connection() { return *connection_; }
     protocol::CallerSession& session() { return session_; }
-    const CallerLink::Use& use() const { return session_.use; }
+    const CallerLink::Usage& use() const { return session_.usage; }
     bool idle() const { return connection_->idle(); }
     Clock::time_point heard() const { return half_.last_read(); }
     void hears(Clock::time_point now) { half_.heard(session_, now); }
     // New, or with a message that comes in pieces.
     bool about_to_ask(Clock::time_point now) const {
-        return (!session_.has_asked() || session_.within_message()) && now - heard() < kPieceGap;
+        return (!session_.has_sent_request() || session_.has_partial_message()) && now - heard() < kPieceGap;
     }
-    bool between_set_ups() const { return use().open == 0 && idle(); }
+    bool between_set_ups() const { return use().open_set_ups == 0 && idle(); }
     // Closed now it takes nothing from anybody: no answer is owed, none is on its way, nothing has begun.
     bool in_a_gap(Clock::time_point now) const {
-        return between_set_ups() && use().standing == 0 && !session_.within_message() &&
-               (session_.has_asked() || now - opened_ >= kFirstChance);
+        return between_set_ups() && use().standing_calls == 0 && !session_.has_partial_message() &&
+               (session_.has_sent_request() || now - opened_ >= kFirstChance);
     }
     // Ordinary callers may hold a connection without a call for as long as they like: only one that never
     // asked for anything, or that stopped within a message, takes a descriptor for nothing.
     bool overdue(Clock::time_point now) {
         return half_.older_than(kRestOfMessage, session_, now) ||
-               (!session_.has_asked() && now - opened_ >= kFirstWord);
+               (!session_.has_sent_request() && now - opened_ >= kFirstWord);
     }
 
    private:
@@ -146,7 +146,7 @@
 void Clients::take_in(tcp::socket socket, bool has_asked, std::string_view begun) {
     const auto client = std::make_shared<Client>(std::move(socket), events_, counters_);
     open_.push_back(client);
-    events_.caller_up(client->session());
+    events_.on_caller_connected(client->session());
     if (!client->session().resume(has_asked, begun)) return drop(client);
     spawn(acceptor_.get_executor(), serve(client));
 }
@@ -161,13 +161,14 @@
     const auto now = Clock::now();
     const auto worth_keeping = [&held, now](const std::shared_ptr<Client>& client) {
         protocol::CallerSession& session = client->session();
-        return std::tuple(session.use.open > 0, session.use.standing > 0, client->about_to_ask(now),
-                          -held[session.origin()], session.has_asked(), client->heard());
+        return std::tuple(session.usage.open_set_ups > 0, session.usage.standing_calls > 0,
+                          client->about_to_ask(now), -held[session.origin()], session.has_sent_request(),
+                          client->heard());
     };
     const auto least = std::min_element(open_.begin(), open_.end(), [&](const auto& a, const auto& b) {
         return worth_keeping(a) < worth_keeping(b);
     });
-    if (least == open_.end() || (*least)->use().open > 0) return false;
+    if (least == open_.end() || (*least)->use().open_set_ups > 0) return false;
     ++counters_.client_connections_displaced;
     drop(*least);
     return true;
@@ -176,7 +177,7 @@
 // At once, not when its coroutine ends: nothing more is to be sent there, and its place is free.
 void Clients::drop(std::shared_ptr<Client> client) {
     if (std::erase(open_, client) == 0) return;
-    events_.caller_gone(client->session());
+    events_.on_caller_disconnected(client->session());
     client->connection().close();
 }
 
@@ -219,10 +220,10 @@
         // Something may have begun since the reading was paused: then it goes on here.
         if (!pass_ || !client->between_set_ups() || std::erase(open_, client) == 0) continue;
         ++counters_.client_connections_passed_on;
-        const std::string begun(session.begun());
-        events_.caller_gone(session);
+        const std::string begun(session.partial_message());
+        events_.on_caller_disconnected(session);
         const int descriptor = connection.release();
-        if (descriptor >= 0) pass_(descriptor, session.has_asked(), begun);
+        if (descriptor >= 0) pass_(descriptor, session.has_sent_request(), begun);
         co_return;
     }
     drop(client);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -73,8 +73,8 @@
         std::vector<asio::const_buffer> buffers;
         const std::size_t frames = std::min(queue.size(), kGathered);
         for (std::size_t i = 0; i < frames; ++i) {
-            buffers.push_back(asio::buffer(queue[i].head));
-            if (queue[i].tail) buffers.push_back(asio::buffer(*queue[i].tail));
+            buffers.push_back(asio::buffer(queue[i].header));
+            if (queue[i].description) buffers.push_back(asio::buffer(*queue[i].description));
         }
         const auto [error, bytes] =
             co_await asio::async_write(self->socket_, buffers, asio::as_tuple(asio::use_awaitable));
@@ -93,7 +93,7 @@
 void Connection::count_whole(std::size_t frames, std::size_t bytes) {
     for (std::size_t i = 0; i < frames && queue_[i].size() <= bytes; ++i) {
         bytes -= queue_[i].size();
-        counters_.set_ups_written += queue_[i].attempt;
+        counters_.set_ups_written += queue_[i].is_attempt;
     }
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -25,7 +25,7 @@
 
 // Bytes: what a connection holds at the most, queued messages and one that is read.
 constexpr std::size_t kMostQueued = 64 * 1024;
-constexpr std::size_t kMostBuffered = kMostQueued + protocol::kLongestMessage;
+constexpr std::size_t kMostBuffered = kMostQueued + protocol::kMaxMessageBytes;
 
 class Connection : public std::enable_shared_from_this<Connection> {
    public:
@@ -48,14 +48,14 @@
     asio::awaitable<bool> read_into(Session& session, F heard) {
         paused_ = false;
         for (;;) {
-            const std::span<char> space = session.space();
+            const std::span<char> space = session.read_buffer();
             const auto [error, bytes] = co_await socket_.async_read_some(
                 asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
             // Closed meanwhile: whoever did so wants to hear nothing more, though bytes had come.
             if (paused_ && open() && error == asio::error::operation_aborted) co_return true;
             if (error || !open()) co_return false;
             heard();
-            if (!session.fed(bytes)) co_return false;
+            if (!session.consume(bytes)) co_return false;
             if (paused_ && open()) co_return true;
         }
     }
@@ -79,14 +79,14 @@
     // With every read, before its bytes go to the session.
     template <class Session>
     void heard(const Session& session, Clock::time_point now) {
-        if (!session.within_message()) began_ = now;
+        if (!session.has_partial_message()) began_ = now;
         look(session);
         heard_ = now;
     }
     template <class Session>
     bool older_than(Clock::duration age, const Session& session, Clock::time_point now) {
         look(session);
-        return session.within_message() && now - began_ >= age;
+        return session.has_partial_message() && now - began_ >= age;
     }
     Clock::time_point last_read() const { return heard_; }
 
--- a/src/net/feed.cpp
+++ b/src/net/feed.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 Feed::Feed(asio::io_context& io, std::optional<tcp::endpoint> at, std::int64_t known,
-           protocol::FeedSession::Take take, std::size_t longest_line, Counters& counters)
+           protocol::FeedSession::ListHandler take, std::size_t longest_line, Counters& counters)
     : at_(std::move(at)),
       session_(known, std::move(take), longest_line),
       counters_(counters),
@@ -71,13 +71,13 @@
     const std::string line = session_.subscribe();
     co_await asio::async_write(socket_, asio::buffer(line), asio::as_tuple(asio::use_awaitable));
     for (;;) {
-        const auto space = session_.space();
+        const auto space = session_.read_buffer();
         const auto [broken, bytes] = co_await socket_.async_read_some(
             asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
         // What had come from the address before a move is not taken: the new one tells it again.
         if (broken || moved_) co_return;
         heard_ = Clock::now();
-        if (session_.fed(bytes)) {
+        if (session_.consume(bytes)) {
             spoken_ = spoken_ || session_.whole_lines() > 0;
             continue;
         }
--- a/src/net/feed.hpp
+++ b/src/net/feed.hpp
@@ -12,13 +12,13 @@
 class Feed {
    public:
     Feed(asio::io_context& io, std::optional<tcp::endpoint> at, std::int64_t known,
-         protocol::FeedSession::Take take, std::size_t longest_line, Counters& counters);
+         protocol::FeedSession::ListHandler take, std::size_t longest_line, Counters& counters);
 
-    void use_longest_line(std::size_t longest) { session_.use_longest(longest); }
+    void use_longest_line(std::size_t longest) { session_.set_max_line_bytes(longest); }
 
     void start();
     void stop();
-    std::int64_t last() const { return session_.last(); }
+    std::int64_t last() const { return session_.last_number(); }
     // It has told something since its start here, so that what it told before is known; or there is none.
     bool has_spoken() const { return spoken_ || !at_; }
 
--- a/src/net/figures.cpp
+++ b/src/net/figures.cpp
@@ -18,15 +18,15 @@
     }
     line("dispatches", counters.set_ups_written, 'c');
     line("concurrent", gatekeeper.calls(), 'g');
-    line("targets", gatekeeper.listed(), 'g');
-    line("targets_disabled", gatekeeper.avoided(), 'g');
+    line("targets", gatekeeper.listed_exchanges(), 'g');
+    line("targets_disabled", gatekeeper.avoided_exchanges(), 'g');
     return text;
 }
 
 std::string oldest_calls(const calls::Gatekeeper& gatekeeper, std::size_t most) {
     std::string text = "call at seconds\n";
-    for (const calls::Gatekeeper::OldCall& old : gatekeeper.oldest(most))
-        text += old.call + ' ' + old.at + ' ' +
+    for (const calls::Gatekeeper::OldCall& old : gatekeeper.oldest_calls(most))
+        text += old.call + ' ' + old.exchange + ' ' +
                 std::to_string(std::chrono::duration_cast<std::chrono::seconds>(old.age).count()) + '\n';
     return text;
 }
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -51,7 +51,7 @@
 
     void send(const Message& message, Descriptor with) {
         if (!open()) return;
-        queue_.push_back({message.bytes(), std::move(with)});
+        queue_.push_back({message.encode(), std::move(with)});
         if (std::exchange(writing_, true)) return;
         spawn(socket_.get_executor(), write(shared_from_this()));
     }
@@ -87,7 +87,7 @@
     };
 
     bool read() {
-        const auto space = inbox_.space();
+        const auto space = inbox_.read_buffer();
         iovec bytes{space.data(), space.size()};
         alignas(cmsghdr) char beside[CMSG_SPACE(kMostDescriptors * sizeof(int))];
         msghdr head{};
@@ -103,7 +103,7 @@
                 descriptors_.emplace_back(number);
             }
         }
-        return got > 0 && inbox_.fed(static_cast<std::size_t>(got));
+        return got > 0 && inbox_.consume(static_cast<std::size_t>(got));
     }
 
     static asio::awaitable<void> write(std::shared_ptr<Channel> self) {
@@ -137,7 +137,7 @@
 
     local::socket socket_;
     asio::steady_timer patience_;
-    protocol::HandoverInbox inbox_;
+    protocol::HandoverReader inbox_;
     std::deque<Descriptor> descriptors_;
     Descriptor beside_;
     std::deque<Waiting> queue_;
@@ -213,15 +213,15 @@
 
 asio::awaitable<void> Handover::give(std::shared_ptr<Channel> to) {
     std::optional<Message> message = co_await to->hear(kWord);
-    if (message && message->greets()) {
+    if (message && message->is_valid_hello()) {
         to->send(Message::hello(), Descriptor(::dup(process_.listener())));
-        to->send({Kind::list, {process_.list()}}, Descriptor());
+        to->send({Kind::exchange_list, {process_.list()}}, Descriptor());
         message = co_await to->hear(kPreparation + kPreparation / 2);
         if (message && message->kind == Kind::take_over && !stopped_) {
             ++counters_.handovers_given;
             gave_way_ = true;
             process_.give_way();  // the calls that stand go first: the new one is to know them when it serves
-            to->send({Kind::yours, {}}, Descriptor());
+            to->send({Kind::handed_over, {}}, Descriptor());
             while (message) message = co_await to->hear();
         }
     }
@@ -238,23 +238,23 @@
 }
 
 void Handover::pass_caller(Descriptor connection, bool has_asked, std::string begun) {
-    tell({Kind::caller, {has_asked ? "1" : "0", std::move(begun)}}, std::move(connection));
+    tell({Kind::caller_connection, {has_asked ? "1" : "0", std::move(begun)}}, std::move(connection));
 }
 
 void Handover::tell_remaining(std::size_t connections) {
-    tell({Kind::remaining, {std::to_string(connections)}});
+    tell({Kind::remaining_callers, {std::to_string(connections)}});
 }
 
-void Handover::stands(const ExchangeId& at, const CallId& call, std::string_view origin) {
-    tell({Kind::stands, {at, call, std::string(origin)}});
+void Handover::hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) {
+    tell({Kind::standing_call, {at, call, std::string(origin)}});
 }
 
-void Handover::ended(const ExchangeId& at, const CallId& call, Outcome outcome) {
-    tell({Kind::ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
+void Handover::hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) {
+    tell({Kind::call_ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
 }
 
-void Handover::released(const CallId& call) {
-    tell({Kind::released, {call}});
+void Handover::hand_over_release(const CallId& call) {
+    tell({Kind::call_released, {call}});
 }
 
 // ---- The new one ---------------------------------------------------------------------------------------
@@ -276,10 +276,10 @@
     from->send(Message::hello(), Descriptor());
     std::optional<Message> message = co_await from->hear(kWord);
     Descriptor listener = from->beside();
-    if (!message || !message->greets() || !listener) co_return false;
+    if (!message || !message->is_valid_hello() || !listener) co_return false;
     process_.take_listener(std::move(listener));
     message = co_await from->hear(kWord);
-    if (!message || message->kind != Kind::list) co_return false;
+    if (!message || message->kind != Kind::exchange_list) co_return false;
     process_.take_list(message->parts[0]);
     asio::steady_timer look(io_);
     const auto latest = std::chrono::steady_clock::now() + kPreparation;
@@ -288,28 +288,29 @@
         co_await look.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     from->send({Kind::take_over, {}}, Descriptor());
-    while ((message = co_await from->hear(kWord)) && message->kind != Kind::yours) take_in(*from, *message);
+    while ((message = co_await from->hear(kWord)) && message->kind != Kind::handed_over)
+        take_in(*from, *message);
     co_return message.has_value();
 }
 
 void Handover::take_in(Channel& from, const Message& message) {
     const auto& parts = message.parts;
     switch (message.kind) {
-        case Kind::caller:
+        case Kind::caller_connection:
             if (Descriptor connection = from.beside())
                 process_.take_caller(std::move(connection), parts[0] == "1", parts[1]);
             break;
-        case Kind::remaining:
+        case Kind::remaining_callers:
             process_.predecessor_holds(static_cast<std::size_t>(
-                std::max<std::int64_t>(0, protocol::to_whole(parts[0]).value_or(0))));
+                std::max<std::int64_t>(0, protocol::to_integer(parts[0]).value_or(0))));
             break;
-        case Kind::stands:
+        case Kind::standing_call:
             process_.take_standing(parts[0], parts[1], parts[2]);
             break;
-        case Kind::ended:
+        case Kind::call_ended:
             process_.take_end(parts[0], parts[1], parts[2] == "1" ? Outcome::ended : Outcome::reset);
             break;
-        case Kind::released:
+        case Kind::call_released:
             process_.take_release(parts[0]);
             break;
         default:  // out of turn: means nothing here
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -71,9 +71,9 @@
     void pass_caller(Descriptor connection, bool has_asked, std::string begun);
     void tell_remaining(std::size_t connections);
 
-    void stands(const ExchangeId& at, const CallId& call, std::string_view origin) override;
-    void ended(const ExchangeId& at, const CallId& call, Outcome outcome) override;
-    void released(const CallId& call) override;
+    void hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) override;
+    void hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) override;
+    void hand_over_release(const CallId& call) override;
 
    private:
     class Channel;
--- a/src/net/operators.cpp
+++ b/src/net/operators.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 struct Operators::Call {
-    Call(tcp::socket with, protocol::OperatorEvents& events)
+    Call(tcp::socket with, protocol::OperatorRequestHandler& events)
         : socket(std::move(with)), session(events), deadline(socket.get_executor(), kWholeCall) {}
 
     void close() {
@@ -27,8 +27,8 @@
     asio::steady_timer deadline;
 };
 
-Operators::Operators(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
-                     Counters& counters)
+Operators::Operators(asio::io_context& io, const tcp::endpoint& listen,
+                     protocol::OperatorRequestHandler& events, Counters& counters)
     : acceptor_(io), events_(events), counters_(counters) {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -76,11 +76,11 @@
         if (const auto late = held.lock(); late && !stopped) late->close();
     });
     for (bool more = true; more;) {
-        const auto space = call->session.space();
+        const auto space = call->session.read_buffer();
         const auto [error, bytes] = co_await call->socket.async_read_some(
             asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
         if (error || !call->socket.is_open()) co_return;
-        more = call->session.fed(bytes);
+        more = call->session.consume(bytes);
     }
     const auto [error, written] = co_await asio::async_write(
         call->socket, asio::buffer(call->session.reply()), asio::as_tuple(asio::use_awaitable));
--- a/src/net/operators.hpp
+++ b/src/net/operators.hpp
@@ -17,7 +17,7 @@
     static constexpr std::size_t kMostCalls = 16;
 
     // Listens at once; throws boost::system::system_error if it cannot.
-    Operators(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
+    Operators(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorRequestHandler& events,
               Counters& counters);
     ~Operators();
 
@@ -31,7 +31,7 @@
     static asio::awaitable<void> serve(std::shared_ptr<Call> call, Counters& counters);
 
     tcp::acceptor acceptor_;
-    protocol::OperatorEvents& events_;
+    protocol::OperatorRequestHandler& events_;
     Counters& counters_;
     std::list<std::weak_ptr<Call>> open_;  // the oldest first; each is held by its coroutine
 };
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -47,10 +47,11 @@
         lose_out(nullptr);
     }
 
-    void set_up(const Forward& forward) {
+    void set_up(const OutgoingSetUp& forward) {
         used_ = true;
-        if (connection_ && connection_->open()) return put_out(forward.call, SwitchSession::set_up(forward));
-        waiting_.emplace_back(forward.call, SwitchSession::set_up(forward));
+        if (connection_ && connection_->open())
+            return put_out(forward.call, SwitchSession::set_up_frame(forward));
+        waiting_.emplace_back(forward.call, SwitchSession::set_up_frame(forward));
         pause_.cancel();  // dialled at once
     }
 
@@ -59,33 +60,35 @@
         std::erase_if(waiting_, [&](const auto& w) { return w.first == call; });
         const auto at = out_.find(call);
         if (at == out_.end()) return;
-        at->second->send(SwitchSession::release(call));
+        at->second->send(SwitchSession::release_frame(call));
         out_.erase(at);
     }
 
     // Without a connection it waits for the next: the call may stand there.
     void release(const CallId& call) {
-        if (connection_ && connection_->open()) return connection_->send(SwitchSession::release(call));
+        if (connection_ && connection_->open()) return connection_->send(SwitchSession::release_frame(call));
         if (releases_.size() < kMostReleases) releases_.push_back(call);
     }
 
     // Set-ups that no connection came up for: they never ran.
     void lose_waiting(Outcome outcome) {
         for (const auto& [call, frame] : std::exchange(waiting_, {}))
-            events_.ended(id_, call, outcome, Cause::none, {});
+            events_.on_call_ended(id_, call, outcome, Cause::none, {});
     }
 
-    void stands(const ExchangeId& at, const CallId& call, std::string_view description) override {
+    void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) override {
         out_.erase(call);
-        events_.stands(at, call, description);
+        events_.on_answer(at, call, description);
     }
-    void ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
-               const LoadReport& load) override {
+    void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+                       const LoadReport& load) override {
         out_.erase(call);
-        events_.ended(at, call, outcome, cause, load);
+        events_.on_call_ended(at, call, outcome, cause, load);
     }
-    void group_state(const ExchangeId& at, const LoadReport& load) override { events_.group_state(at, load); }
-    void process_dead(const ExchangeId& at) override { events_.process_dead(at); }
+    void on_group_state(const ExchangeId& at, const LoadReport& load) override {
+        events_.on_group_state(at, load);
+    }
+    void on_process_failed(const ExchangeId& at) override { events_.on_process_failed(at); }
 
    private:
     struct Line {  // what comes on one connection
@@ -110,7 +113,7 @@
         for (const CallId& call : lost) {
             out_.erase(call);
             release(call);
-            events_.ended(id_, call, Outcome::reset, Cause::none, {});
+            events_.on_call_ended(id_, call, Outcome::reset, Cause::none, {});
         }
     }
 
@@ -143,7 +146,7 @@
                 // Guards against calls that stand for ever over a cut link: nothing can tell that they were
                 // dropped. Neither an old connection nor a new one speaks for so long that they must be.
                 if (error == asio::error::timed_out) dead = Clock::now() - heard_ >= kCutOff * time_out_;
-                if (dead && std::exchange(had, false)) events_.process_dead(id_);
+                if (dead && std::exchange(had, false)) events_.on_process_failed(id_);
             }
             // Also after a connection that came up: guards against a far end that closes each at once.
             pause_.expires_after(waiting_.empty() ? pause : kLeastPause);
@@ -177,7 +180,7 @@
         heard_ = Clock::now();
         asked_.reset();
         for (const CallId& call : std::exchange(releases_, {}))
-            connection_->send(SwitchSession::release(call));
+            connection_->send(SwitchSession::release_frame(call));
         for (auto& [call, frame] : std::exchange(waiting_, {})) put_out(call, std::move(frame));
         spawn(io_, converse(shared_from_this(), connection_));
     }
@@ -275,13 +278,13 @@
     return std::all_of(peers_.begin(), peers_.end(), [](const auto& p) { return p.second->idle(); });
 }
 
-void Servers::set_up(const ExchangeId& at, const Forward& forward) {
+void Servers::set_up(const ExchangeId& at, const OutgoingSetUp& forward) {
     const auto peer = peers_.find(at);
     if (peer != peers_.end()) return peer->second->set_up(forward);
-    events_->ended(at, forward.call, Outcome::unreachable, Cause::none, {});
+    events_->on_call_ended(at, forward.call, Outcome::unreachable, Cause::none, {});
 }
 
-void Servers::give_up(const ExchangeId& at, const CallId& call) {
+void Servers::cancel(const ExchangeId& at, const CallId& call) {
     if (const auto peer = peers_.find(at); peer != peers_.end()) peer->second->give_up(call);
 }
 
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -21,8 +21,8 @@
     void stop();
     bool idle() const;  // all that was to be written has been
 
-    void set_up(const ExchangeId& at, const Forward& forward) override;
-    void give_up(const ExchangeId& at, const CallId& call) override;
+    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override;
+    void cancel(const ExchangeId& at, const CallId& call) override;
     void release(const ExchangeId& at, const CallId& call) override;
 
    private:
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -59,7 +59,7 @@
     return config;
 }
 
-class Program final : public protocol::OperatorEvents, public net::Handover::Process {
+class Program final : public protocol::OperatorRequestHandler, public net::Handover::Process {
    public:
     Program(asio::io_context& io, const config::Config& config, std::string file_path,
             std::optional<config::OperatorFile> file, log::Log& log)
@@ -88,16 +88,16 @@
         if (!config.operators.empty())
             operators_.emplace(io, *net::to_endpoint(config.operators), *this, counters_);
         servers_.report_to(gatekeeper_);
-        gatekeeper_.on_schedule([this](Instant at) { arm(at); });
-        gatekeeper_.on_note([this](const std::string& text) {
+        gatekeeper_.set_timer_handler([this](Instant at) { arm(at); });
+        gatekeeper_.set_note_handler([this](const std::string& text) {
             if (++notes_ <= kNotes) log_.info("note: " + text);
         });
-        clients_.send_away_while([this] { return gatekeeper_.sends_away(); });
+        clients_.send_away_while([this] { return gatekeeper_.can_close_callers(); });
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
             for (const trunk::Front::Trunk* of : trunk_->front().trunks())
-                routes_.add(of->settings().exchange, trunk_->front());
+                routes_.add_route(of->settings().exchange, trunk_->front());
         }
         bool first = true;
         for (ListEvent event : config.events) {
@@ -124,12 +124,12 @@
         log_.info(text.str());
     }
 
-    bool ready() override { return in_charge_ && gatekeeper_.ready(); }
+    bool is_ready() override { return in_charge_ && gatekeeper_.is_ready(); }
     std::string metrics() const override {
         return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
     }
-    std::optional<protocol::OperatorReply> other(std::string_view method, std::string_view path,
-                                                 std::string_view query) override {
+    std::optional<protocol::OperatorReply> handle_other(std::string_view method, std::string_view path,
+                                                        std::string_view query) override {
         if (path == "/calls/oldest") {
             if (method != "GET") return protocol::OperatorReply{405, "GET"};
             return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kOldestShown)};
@@ -159,7 +159,7 @@
         log_.info("another process takes over");
         clients_.pause();
         if (trunk_) trunk_->retire();
-        gatekeeper_.give_way_to(&handover_);
+        gatekeeper_.hand_over_to(&handover_);
         clients_.pass_on_by([this](int descriptor, bool has_asked, std::string begun) {
             handover_.pass_caller(net::Descriptor(descriptor), has_asked, std::move(begun));
             handover_.tell_remaining(clients_.open());
@@ -168,7 +168,7 @@
     }
     void take_back() override {
         log_.warning("the other process has gone");
-        gatekeeper_.give_way_to(nullptr);
+        gatekeeper_.hand_over_to(nullptr);
         clients_.pass_on_by(nullptr);
         clients_.resume();
     }
@@ -185,7 +185,7 @@
         }
     }
     bool prepared() override {
-        return gatekeeper_.ready() && (feed_.has_spoken() || clock_.now() - started_ >= kFeedSpeaks);
+        return gatekeeper_.is_ready() && (feed_.has_spoken() || clock_.now() - started_ >= kFeedSpeaks);
     }
     void take_over() override {
         if (clients_.listener() < 0) clients_.listen(*net::to_endpoint(listen_));
@@ -202,12 +202,12 @@
         clients_.use_most(most_clients_ - std::min(most_clients_ - 1, connections));
     }
     void take_standing(const ExchangeId& at, const CallId& call, const std::string& origin) override {
-        gatekeeper_.take_standing(at, call, origin, trunk_ ? trunk_->link_of(origin) : nullptr);
+        gatekeeper_.accept_standing(at, call, origin, trunk_ ? trunk_->link_of(origin) : nullptr);
     }
     void take_end(const ExchangeId& at, const CallId& call, Outcome outcome) override {
-        gatekeeper_.ended(at, call, outcome, Cause::none, {});
+        gatekeeper_.on_call_ended(at, call, outcome, Cause::none, {});
     }
-    void take_release(const CallId& call) override { gatekeeper_.take_release(call); }
+    void take_release(const CallId& call) override { gatekeeper_.accept_release(call); }
 
    private:
     static std::size_t memory(const config::Config& config) {
@@ -223,7 +223,7 @@
 
     // A sixth for descriptions of waiting calls, a fifth for the table itself.
     static calls::Gatekeeper::Bounds bounds(const config::Config& config) {
-        return {.held = memory(config) / 6, .calls = memory(config) / 5 / kCallTakes};
+        return {.max_description_bytes = memory(config) / 6, .max_calls = memory(config) / 5 / kCallTakes};
     }
 
     // Read as JSON, a line takes some ten times its length.
@@ -233,11 +233,11 @@
     void take(const ListEvent& event) {
         if (trunk_) {
             ListEvent all = trunk_->front().with_hubs(event);
-            gatekeeper_.list(all);
+            gatekeeper_.apply_list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
             servers_.list(all);
         } else {
-            gatekeeper_.list(event);
+            gatekeeper_.apply_list(event);
             servers_.list(event);
         }
         if (event.kind != ListKind::changes) roster_.clear();
@@ -251,7 +251,7 @@
     void arm(Instant at) {
         alarm_.expires_after(std::max(Duration::zero(), at - clock_.now()));
         alarm_.async_wait([this](const boost::system::error_code& stopped) {
-            if (!stopped) gatekeeper_.run_due();
+            if (!stopped) gatekeeper_.run_timers();
         });
     }
 
@@ -278,10 +278,10 @@
                 !kept.empty())
                 json::bad(file_path_ + ": " + kept);
             if (fresh.listen != listen_) json::bad_key("listen", "the same until a restart");
-            if (!gatekeeper_.can_take(fresh.settings))
+            if (!gatekeeper_.can_apply(fresh.settings))
                 json::bad(
                     "in 'settings': 'grades', 'layout' and 'this_node' must be the same until a restart");
-            gatekeeper_.take(fresh.settings, bounds(fresh));
+            gatekeeper_.apply_settings(fresh.settings, bounds(fresh));
             time_to_end_ = fresh.time_to_end();
             time_to_end_superseded_ = fresh.time_to_end_superseded();
             servers_.use_connect_time_out(fresh.net.connect_time_out);
@@ -307,13 +307,13 @@
     asio::awaitable<void> stop() {
         const Instant told = clock_.now();
         const Instant end = told + (handover_.superseded() ? time_to_end_superseded_ : time_to_end_);
-        gatekeeper_.leave(end);
+        gatekeeper_.begin_shutdown(end);
         for (;;) {
             stop_tick_.expires_after(kStopTick);
             co_await stop_tick_.async_wait(asio::use_awaitable);
             const Instant now = clock_.now();
             if (now >= end) gatekeeper_.refuse_all();
-            const bool done = gatekeeper_.unanswered() == 0 && clients_.idle() && servers_.idle() &&
+            const bool done = gatekeeper_.unanswered_calls() == 0 && clients_.idle() && servers_.idle() &&
                               handover_.idle() && !(handover_.superseded() && clients_.open() > 0);
             if ((done && now >= told + kServeOn) || now >= end + kLastWrites) break;
         }
--- a/src/protocol/callers.hpp
+++ b/src/protocol/callers.hpp
@@ -11,30 +11,32 @@
 class CallerSession final : public CallerLink {
    public:
     // Where messages to the caller go.
-    class Out {
+    class Output {
        public:
         virtual void send(Frame frame) = 0;
 
        protected:
-        ~Out() = default;
+        ~Output() = default;
     };
 
-    CallerSession(CallerEvents& events, Out& out, Counters& counters, std::string origin = {})
+    CallerSession(CallerEvents& events, Output& out, Counters& counters, std::string origin = {})
         : events_(events), out_(out), counters_(counters), origin_(std::move(origin)) {}
 
-    std::span<char> space() { return inbox_.space(); }
+    std::span<char> read_buffer() { return inbox_.read_buffer(); }
     // Takes what was read into space(). False: malformed, the connection is to be closed.
-    bool fed(std::size_t bytes);
+    bool consume(std::size_t bytes);
 
-    std::string_view begun() const { return inbox_.begun(); }  // of a message that has no end yet
+    std::string_view partial_message() const {
+        return inbox_.partial_message();
+    }  // of a message that has no end yet
     // Goes on where another session stopped, on the same connection.
     bool resume(bool has_asked, std::string_view begun);
-    bool has_asked() const { return asked_; }  // for anything that has an answer
-    bool within_message() const { return inbox_.within_message(); }
+    bool has_sent_request() const { return asked_; }  // for anything that has an answer
+    bool has_partial_message() const { return inbox_.has_partial_message(); }
     std::uint64_t whole_messages() const { return inbox_.whole_messages(); }
 
     void answer(const CallId& call, Description description) override;
-    void release(const CallId& call, Ending ending) override;
+    void release(const CallId& call, ReleaseReason ending) override;
     std::string_view origin() const override { return origin_; }
 
    private:
@@ -42,10 +44,10 @@
     bool offer(const Message& message);
 
     CallerEvents& events_;
-    Out& out_;
+    Output& out_;
     Counters& counters_;
     std::string origin_;
-    Inbox inbox_;
+    MessageReader inbox_;
     bool asked_ = false;
 };
 
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -24,8 +24,8 @@
 // Whether the parameters follow one another up to the message's last byte.
 bool whole(std::string_view parameters) {
     while (!parameters.empty()) {
-        if (parameters.size() < kParameterHead) return false;
-        const std::size_t length = kParameterHead + big_endian(parameters.data() + 1);
+        if (parameters.size() < kParameterHeaderBytes) return false;
+        const std::size_t length = kParameterHeaderBytes + big_endian(parameters.data() + 1);
         if (parameters.size() < length) return false;
         parameters.remove_prefix(length);
     }
@@ -40,18 +40,18 @@
 
 }  // namespace
 
-std::optional<std::string_view> Message::find(Code code) const {
+std::optional<std::string_view> Message::find(ParameterCode code) const {
     for (std::string_view rest = parameters; !rest.empty();) {
         const std::size_t length = big_endian(rest.data() + 1);
         if (static_cast<std::uint8_t>(rest[0]) == static_cast<std::uint8_t>(code))
-            return rest.substr(kParameterHead, length);
-        rest.remove_prefix(kParameterHead + length);
+            return rest.substr(kParameterHeaderBytes, length);
+        rest.remove_prefix(kParameterHeaderBytes + length);
     }
     return std::nullopt;
 }
 
 std::uint8_t Message::cause() const {
-    const std::string_view value = text(Code::cause);
+    const std::string_view value = text(ParameterCode::cause);
     return value.empty() ? std::uint8_t{0} : static_cast<std::uint8_t>(value[0]);
 }
 
@@ -64,7 +64,7 @@
     return text;
 }
 
-std::span<char> Inbox::space() {
+std::span<char> MessageReader::read_buffer() {
     if (begin_ > 0) {
         std::memmove(bytes_.data(), bytes_.data() + begin_, end_ - begin_);
         end_ -= begin_;
@@ -81,29 +81,29 @@
     return {bytes_.data() + end_, bytes_.size() - end_};
 }
 
-void Inbox::filled(std::size_t bytes) {
+void MessageReader::add_bytes(std::size_t bytes) {
     end_ += bytes;
 }
 
-Inbox::Next Inbox::next(Message& message) {
+MessageReader::Result MessageReader::next(Message& message) {
     const std::size_t held = end_ - begin_;
-    if (held < kLengthBytes) return Next::more;
+    if (held < kLengthBytes) return Result::incomplete;
     const char* at = bytes_.data() + begin_;
     const std::size_t length = big_endian(at);
     // Judged by the length alone: a peer that announces too much must not be waited for.
-    if (length < kHeadBytes || length + kLengthBytes > kLongestMessage) return Next::malformed;
-    if (held < kLengthBytes + length) return Next::more;
+    if (length < kHeaderBytes || length + kLengthBytes > kMaxMessageBytes) return Result::malformed;
+    if (held < kLengthBytes + length) return Result::incomplete;
     const std::string_view body(at + kLengthBytes, length);
-    message.type = static_cast<Type>(static_cast<std::uint8_t>(body[0]));
+    message.type = static_cast<MessageType>(static_cast<std::uint8_t>(body[0]));
     message.id = body.substr(1, kIdBytes);
-    message.parameters = body.substr(kHeadBytes);
-    if (!whole(message.parameters)) return Next::malformed;
+    message.parameters = body.substr(kHeaderBytes);
+    if (!whole(message.parameters)) return Result::malformed;
     begin_ += kLengthBytes + length;
     ++whole_messages_;
-    return Next::message;
+    return Result::message;
 }
 
-FrameBuilder::FrameBuilder(Type type, const CallId& call) : head_(kLengthBytes, '\0') {
+FrameBuilder::FrameBuilder(MessageType type, const CallId& call) : head_(kLengthBytes, '\0') {
     head_ += static_cast<char>(type);
     for (std::size_t i = 0; i < kIdBytes; ++i) {
         const bool there = 2 * i + 1 < call.size();
@@ -111,9 +111,9 @@
     }
 }
 
-FrameBuilder& FrameBuilder::text(Code code, std::string_view value) {
+FrameBuilder& FrameBuilder::text(ParameterCode code, std::string_view value) {
     const std::size_t at = head_.size();
-    head_.append(kParameterHead, static_cast<char>(code));
+    head_.append(kParameterHeaderBytes, static_cast<char>(code));
     put_big_endian(head_, at + 1, value.size());
     head_.append(value);
     return *this;
@@ -121,24 +121,24 @@
 
 FrameBuilder& FrameBuilder::cause(std::uint8_t value) {
     const char byte = static_cast<char>(value);
-    return text(Code::cause, {&byte, 1});
+    return text(ParameterCode::cause, {&byte, 1});
 }
 
-Frame FrameBuilder::done() {
+Frame FrameBuilder::build() {
     return close(nullptr);
 }
 
-Frame FrameBuilder::done(std::shared_ptr<const std::string> description) {
+Frame FrameBuilder::build(std::shared_ptr<const std::string> description) {
     if (!description) return close(nullptr);
     const std::size_t at = head_.size();
-    head_.append(kParameterHead, static_cast<char>(Code::description));
+    head_.append(kParameterHeaderBytes, static_cast<char>(ParameterCode::description));
     put_big_endian(head_, at + 1, description->size());
     return close(std::move(description));
 }
 
 Frame FrameBuilder::close(std::shared_ptr<const std::string> tail) {
-    Frame frame{.head = std::move(head_), .tail = std::move(tail)};
-    put_big_endian(frame.head, 0, frame.size() - kLengthBytes);
+    Frame frame{.header = std::move(head_), .description = std::move(tail)};
+    put_big_endian(frame.header, 0, frame.size() - kLengthBytes);
     return frame;
 }
 
@@ -150,16 +150,16 @@
     return value;
 }
 
-std::optional<std::int64_t> to_whole(std::string_view text) {
+std::optional<std::int64_t> to_integer(std::string_view text) {
     std::int64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
     return value;
 }
 
-LoadReport read_report(std::string_view text) {
+LoadReport read_load_report(std::string_view text) {
     LoadReport load;
-    for_each_figure(text, [&load](std::string_view name, std::string_view value) {
+    for_each_attribute(text, [&load](std::string_view name, std::string_view value) {
         const auto number = to_number(value);
         if (!number) return;
         const auto circuits = [&] { return static_cast<int>(std::lround(std::clamp(*number, -1.0, 1e9))); };
--- a/src/protocol/codec.hpp
+++ b/src/protocol/codec.hpp
@@ -16,23 +16,23 @@
 
 namespace nettlestall::protocol {
 
-enum class Type : std::uint8_t {
+enum class MessageType : std::uint8_t {
     set_up = 1,
     progress = 6,
     answer = 9,
     release = 12,
-    release_heard = 16,
+    release_complete = 16,
     group_state = 43,
-    test = 52,
-    test_result = 53,
+    health_check = 52,
+    health_check_result = 53,
 };
 
-enum class Code : std::uint8_t {
+enum class ParameterCode : std::uint8_t {
     service_class = 16,
-    patience = 18,
+    time_left = 18,
     redial = 22,
     number = 24,
-    figures = 26,
+    attributes = 26,
     note = 30,
     report = 34,
     cause = 44,
@@ -40,53 +40,53 @@
 };
 
 namespace cause {
-constexpr std::uint8_t kGivenUp = 16, kBusy = 17, kNoCircuit = 34, kReset = 41, kCongestion = 42, kFault = 47,
-                       kTimer = 102, kMissing = 96;
+constexpr std::uint8_t kNormalClearing = 16, kBusy = 17, kNoCircuit = 34, kReset = 41, kCongestion = 42,
+                       kFault = 47, kTimerExpired = 102, kMissingParameter = 96;
 }
 
 constexpr std::size_t kLengthBytes = 2;
 constexpr std::size_t kIdBytes = 8;
-constexpr std::size_t kHeadBytes = 1 + kIdBytes;    // counted by the length, before the parameters
-constexpr std::size_t kLongestMessage = 16 * 1024;  // all of it, the length too
-constexpr std::size_t kParameterHead = 1 + 2;
+constexpr std::size_t kHeaderBytes = 1 + kIdBytes;   // counted by the length, before the parameters
+constexpr std::size_t kMaxMessageBytes = 16 * 1024;  // all of it, the length too
+constexpr std::size_t kParameterHeaderBytes = 1 + 2;
 
 // One message in place. Made only by Inbox, which has checked that its parameters fill it exactly.
 struct Message {
-    Type type{};
+    MessageType type{};
     std::string_view id;          // eight bytes
     std::string_view parameters;  // one after the other
 
-    std::optional<std::string_view> find(Code code) const;
-    std::string_view text(Code code) const { return find(code).value_or(std::string_view{}); }
+    std::optional<std::string_view> find(ParameterCode code) const;
+    std::string_view text(ParameterCode code) const { return find(code).value_or(std::string_view{}); }
     std::uint8_t cause() const;  // nought where there is none
     CallId call() const;         // 16 hex digits
-    bool names_call() const { return id.find_first_not_of('\0') != std::string_view::npos; }
+    bool has_call_id() const { return id.find_first_not_of('\0') != std::string_view::npos; }
 };
 
 // The bytes of one connection. Read into space(), tell filled(), then take messages until there is none; a
 // message's views hold until space() is called again.
-class Inbox {
+class MessageReader {
    public:
-    enum class Next { message, more, malformed };
+    enum class Result { message, incomplete, malformed };
 
-    std::span<char> space();
-    void filled(std::size_t bytes);
-    Next next(Message& message);
+    std::span<char> read_buffer();
+    void add_bytes(std::size_t bytes);
+    Result next(Message& message);
 
-    bool within_message() const { return end_ > begin_; }
-    std::string_view begun() const { return {bytes_.data() + begin_, end_ - begin_}; }
+    bool has_partial_message() const { return end_ > begin_; }
+    std::string_view partial_message() const { return {bytes_.data() + begin_, end_ - begin_}; }
     std::uint64_t whole_messages() const { return whole_messages_; }
 
     // Both in one: takes what was read and hands on each message. False once one is malformed, or `take` says
     // that it is.
     template <class F>
-    bool fed(std::size_t bytes, F&& take) {
-        filled(bytes);
+    bool consume(std::size_t bytes, F&& take) {
+        add_bytes(bytes);
         Message message;
-        Next found = next(message);
-        for (; found == Next::message; found = next(message))
+        Result found = next(message);
+        for (; found == Result::message; found = next(message))
             if (!take(message)) return false;
-        return found != Next::malformed;
+        return found != Result::malformed;
     }
 
    private:
@@ -97,20 +97,20 @@
 
 // A message on its way out: its head, and a description behind it that is not copied.
 struct Frame {
-    std::string head;
-    std::shared_ptr<const std::string> tail;
-    bool attempt = false;  // a set-up to a carrier switch: counted once it is written whole
+    std::string header;
+    std::shared_ptr<const std::string> description;
+    bool is_attempt = false;  // a set-up to a carrier switch: counted once it is written whole
 
-    std::size_t size() const { return head.size() + (tail ? tail->size() : 0); }
+    std::size_t size() const { return header.size() + (description ? description->size() : 0); }
 };
 
 class FrameBuilder {
    public:
-    FrameBuilder(Type type, const CallId& call);
-    FrameBuilder& text(Code code, std::string_view value);
+    FrameBuilder(MessageType type, const CallId& call);
+    FrameBuilder& text(ParameterCode code, std::string_view value);
     FrameBuilder& cause(std::uint8_t value);
-    Frame done();
-    Frame done(std::shared_ptr<const std::string> description);
+    Frame build();
+    Frame build(std::shared_ptr<const std::string> description);
 
    private:
     Frame close(std::shared_ptr<const std::string> tail);
@@ -119,7 +119,7 @@
 
 // The pairs of a text such as `dest:2;width:1`.
 template <class F>
-void for_each_figure(std::string_view text, F&& found) {
+void for_each_attribute(std::string_view text, F&& found) {
     while (!text.empty()) {
         const std::string_view pair = text.substr(0, text.find(';'));
         text.remove_prefix(std::min(text.size(), pair.size() + 1));
@@ -129,9 +129,9 @@
 }
 
 std::optional<double> to_number(std::string_view text);
-std::optional<std::int64_t> to_whole(std::string_view text);
+std::optional<std::int64_t> to_integer(std::string_view text);
 
 // A report such as `x0:12;x1:40`; names that are not known are passed over.
-LoadReport read_report(std::string_view text);
+LoadReport read_load_report(std::string_view text);
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -96,13 +96,13 @@
     return "SUB " + std::to_string(last_) + "\n";
 }
 
-std::span<char> FeedSession::space() {
+std::span<char> FeedSession::read_buffer() {
     bytes_.resize(end_ + kRead);
     if (end_ == 0) bytes_.shrink_to_fit();  // after a long line
     return {bytes_.data() + end_, bytes_.size() - end_};
 }
 
-bool FeedSession::fed(std::size_t bytes) {
+bool FeedSession::consume(std::size_t bytes) {
     end_ += bytes;
     std::string_view rest(bytes_.data(), end_);
     for (auto at = rest.find('\n'); at != std::string_view::npos; at = rest.find('\n')) {
--- a/src/protocol/feed.hpp
+++ b/src/protocol/feed.hpp
@@ -21,19 +21,19 @@
 
 class FeedSession {
    public:
-    using Take = std::function<void(const ListEvent&)>;
+    using ListHandler = std::function<void(const ListEvent&)>;
 
     // `last` is the number of the last event that is known already; no line is longer than `longest`.
-    FeedSession(std::int64_t last, Take take, std::size_t longest = 256 * 1024)
+    FeedSession(std::int64_t last, ListHandler take, std::size_t longest = 256 * 1024)
         : take_(std::move(take)), last_(last), longest_(longest) {}
-    void use_longest(std::size_t longest) { longest_ = longest; }
+    void set_max_line_bytes(std::size_t longest) { longest_ = longest; }
 
-    std::int64_t last() const { return last_; }
+    std::int64_t last_number() const { return last_; }
     std::uint64_t whole_lines() const { return whole_lines_; }
     std::string subscribe();  // the line to write on a new connection; what was read by halves is forgotten
-    std::span<char> space();
+    std::span<char> read_buffer();
     // Takes what was read into space(). False: malformed, the connection is to be closed.
-    bool fed(std::size_t bytes);
+    bool consume(std::size_t bytes);
     // What another source has told, up to number `last`.
     void catch_up(std::int64_t last, const std::vector<ListEvent>& events);
 
@@ -41,7 +41,7 @@
     void take(const ListEvent& event);
     bool line(std::string_view text);
 
-    Take take_;
+    ListHandler take_;
     std::int64_t last_;
     std::size_t longest_;
     std::vector<char> bytes_;
--- a/src/protocol/handover.cpp
+++ b/src/protocol/handover.cpp
@@ -13,17 +13,17 @@
 std::size_t parts_of(HandoverKind kind) {
     switch (kind) {
         case HandoverKind::hello:
-        case HandoverKind::caller:
+        case HandoverKind::caller_connection:
             return 2;
-        case HandoverKind::stands:
-        case HandoverKind::ended:
+        case HandoverKind::standing_call:
+        case HandoverKind::call_ended:
             return 3;
-        case HandoverKind::list:
-        case HandoverKind::remaining:
-        case HandoverKind::released:
+        case HandoverKind::exchange_list:
+        case HandoverKind::remaining_callers:
+        case HandoverKind::call_released:
             return 1;
         case HandoverKind::take_over:
-        case HandoverKind::yours:
+        case HandoverKind::handed_over:
             break;
     }
     return 0;
@@ -31,7 +31,7 @@
 
 bool is_known(std::uint8_t kind) {
     return kind >= static_cast<std::uint8_t>(HandoverKind::hello) &&
-           kind <= static_cast<std::uint8_t>(HandoverKind::released);
+           kind <= static_cast<std::uint8_t>(HandoverKind::call_released);
 }
 
 void put(std::string& to, std::size_t length) {
@@ -68,11 +68,11 @@
     return {.kind = HandoverKind::hello, .parts = {kName, kVersion}};
 }
 
-bool HandoverMessage::greets() const {
+bool HandoverMessage::is_valid_hello() const {
     return kind == HandoverKind::hello && parts == hello().parts;
 }
 
-std::string HandoverMessage::bytes() const {
+std::string HandoverMessage::encode() const {
     std::size_t length = 1;
     for (const std::string& part : parts) length += kLengthBytes32 + part.size();
     std::string text;
@@ -85,18 +85,18 @@
     return text;
 }
 
-std::span<char> HandoverInbox::space() {
+std::span<char> HandoverReader::read_buffer() {
     bytes_.resize(end_ + kRead);
     return {bytes_.data() + end_, kRead};
 }
 
-bool HandoverInbox::fed(std::size_t bytes) {
+bool HandoverReader::consume(std::size_t bytes) {
     end_ += bytes;
     std::string_view rest(bytes_.data(), end_);
     while (rest.size() >= kLengthBytes32) {
         std::string_view body = rest;
         const std::size_t length = take_length(body);
-        if (length == 0 || length > kLongest) return false;  // judged before there is room for it
+        if (length == 0 || length > kMaxMessageBytes) return false;  // judged before there is room for it
         if (body.size() < length) break;
         auto message = read(body.substr(0, length));
         if (!message) return false;
@@ -108,7 +108,7 @@
     return true;
 }
 
-std::optional<HandoverMessage> HandoverInbox::next() {
+std::optional<HandoverMessage> HandoverReader::next() {
     if (whole_.empty()) return std::nullopt;
     HandoverMessage first = std::move(whole_.front());
     whole_.erase(whole_.begin());
--- a/src/protocol/handover.hpp
+++ b/src/protocol/handover.hpp
@@ -15,15 +15,15 @@
 namespace nettlestall::protocol {
 
 enum class HandoverKind : std::uint8_t {
-    hello = 1,  // name, version; from the old one with its listening socket
-    list,       // the exchanges, as a line of the feed
-    take_over,  // the new one is ready
-    yours,      // the old one accepts no more
-    caller,     // has asked (1 or 0), bytes of a message that has begun; with the connection
-    remaining,  // callers' connections that the old one still has
-    stands,     // exchange, call, origin
-    ended,      // exchange, call, 1 where it came to its end and 0 where it was cut
-    released,   // call, by its caller
+    hello = 1,          // name, version; from the old one with its listening socket
+    exchange_list,      // the exchanges, as a line of the feed
+    take_over,          // the new one is ready
+    handed_over,        // the old one accepts no more
+    caller_connection,  // has asked (1 or 0), bytes of a message that has begun; with the connection
+    remaining_callers,  // callers' connections that the old one still has
+    standing_call,      // exchange, call, origin
+    call_ended,         // exchange, call, 1 where it came to its end and 0 where it was cut
+    call_released,      // call, by its caller
 };
 
 struct HandoverMessage {
@@ -31,18 +31,20 @@
     std::vector<std::string> parts;
 
     static HandoverMessage hello();
-    bool greets() const;  // in this version
-    bool carries_descriptor() const { return kind == HandoverKind::hello || kind == HandoverKind::caller; }
-    std::string bytes() const;
+    bool is_valid_hello() const;  // in this version
+    bool carries_descriptor() const {
+        return kind == HandoverKind::hello || kind == HandoverKind::caller_connection;
+    }
+    std::string encode() const;
 };
 
-class HandoverInbox {
+class HandoverReader {
    public:
-    static constexpr std::size_t kLongest = 1024 * 1024;  // of a message behind its length
+    static constexpr std::size_t kMaxMessageBytes = 1024 * 1024;  // of a message behind its length
 
-    std::span<char> space();
+    std::span<char> read_buffer();
     // False: malformed, the conversation is over.
-    bool fed(std::size_t bytes);
+    bool consume(std::size_t bytes);
     std::optional<HandoverMessage> next();  // nothing: more is wanted
 
    private:
--- a/src/protocol/operators.cpp
+++ b/src/protocol/operators.cpp
@@ -55,13 +55,13 @@
 
 }  // namespace
 
-std::span<char> OperatorSession::space() {
+std::span<char> OperatorSession::read_buffer() {
     if (in_body_) end_ = 0;
     bytes_.resize(end_ + kRead);
     return {bytes_.data() + end_, kRead};
 }
 
-bool OperatorSession::fed(std::size_t bytes) {
+bool OperatorSession::consume(std::size_t bytes) {
     if (!reply_.empty()) return false;
     if (!in_body_) {
         end_ += bytes;
@@ -71,7 +71,7 @@
         const std::string_view all(bytes_.data() + skipped, end_ - skipped);
         const std::size_t head = end_of_head(all);
         // Judged by what has come: a head that does not end must not be waited for.
-        if (head > kLongestHead || (head == 0 && end_ > kLongestHead))
+        if (head > kMaxHeaderBytes || (head == 0 && end_ > kMaxHeaderBytes))
             return refuse("431 Request Header Fields Too Large");
         if (head == 0) return true;
         if (!read_head(all.substr(0, head))) return false;
@@ -116,7 +116,7 @@
     const auto [end, wrong] = std::from_chars(value.data(), value.data() + value.size(), length);
     if (value.empty() || end != value.data() + value.size() || (length_ && length != body_))
         return refuse("400 Bad Request");
-    if (wrong != std::errc{} || length > kLongestBody) return refuse("413 Content Too Large");
+    if (wrong != std::errc{} || length > kMaxBodyBytes) return refuse("413 Content Too Large");
     length_ = true;
     body_ = length;
     return true;
@@ -130,7 +130,7 @@
 void OperatorSession::carry_out() {
     const bool reads = target_ == "/ready" || target_ == "/metrics";
     if (!reads && target_ != "/drain" && target_ != "/undrain") {
-        const auto other = events_.other(method_, target_, query_);
+        const auto other = events_.handle_other(method_, target_, query_);
         if (!other || other->status == 404) {
             other ? void(reply_ = reply_of("404 Not Found", other->body)) : void(refuse("404 Not Found"));
         } else if (other->status == 405) {
@@ -144,7 +144,7 @@
     } else if (method_ != (reads ? "GET" : "POST")) {
         refuse("405 Method Not Allowed", reads ? "Allow: GET\r\n" : "Allow: POST\r\n");
     } else if (target_ == "/ready") {
-        const bool ready = events_.ready();
+        const bool ready = events_.is_ready();
         reply_ = reply_of(ready ? "200 OK" : "503 Service Unavailable", ready ? "ready\n" : "not ready\n");
     } else if (target_ == "/metrics") {
         reply_ = reply_of("200 OK", events_.metrics());
--- a/src/protocol/operators.hpp
+++ b/src/protocol/operators.hpp
@@ -15,30 +15,30 @@
 };
 
 // What operators can ask for and order.
-class OperatorEvents {
+class OperatorRequestHandler {
    public:
-    virtual bool ready() = 0;                 // the same answer as the front's test gets
+    virtual bool is_ready() = 0;              // the same answer as the front's test gets
     virtual std::string metrics() const = 0;  // lines of name:value|kind
     virtual void drain() = 0;                 // further orders of the same kind change nothing
     virtual void undrain() = 0;
     // What the parts add that are on. Nothing: there is no such path.
-    virtual std::optional<OperatorReply> other(std::string_view method, std::string_view path,
-                                               std::string_view query) = 0;
+    virtual std::optional<OperatorReply> handle_other(std::string_view method, std::string_view path,
+                                                      std::string_view query) = 0;
 
    protected:
-    ~OperatorEvents() = default;
+    ~OperatorRequestHandler() = default;
 };
 
 class OperatorSession {
    public:
-    static constexpr std::size_t kLongestHead = 8 * 1024;   // of the request line and all fields
-    static constexpr std::size_t kLongestBody = 64 * 1024;  // read and passed over: no call needs one
+    static constexpr std::size_t kMaxHeaderBytes = 8 * 1024;  // of the request line and all fields
+    static constexpr std::size_t kMaxBodyBytes = 64 * 1024;   // read and passed over: no call needs one
 
-    explicit OperatorSession(OperatorEvents& events) : events_(events) {}
+    explicit OperatorSession(OperatorRequestHandler& events) : events_(events) {}
 
-    std::span<char> space();
+    std::span<char> read_buffer();
     // Takes what was read into space(). False: nothing more is wanted, the reply is there.
-    bool fed(std::size_t bytes);
+    bool consume(std::size_t bytes);
     const std::string& reply() const { return reply_; }
 
    private:
@@ -47,7 +47,7 @@
     bool refuse(const char* status, std::string_view more = {});
     void carry_out();
 
-    OperatorEvents& events_;
+    OperatorRequestHandler& events_;
     std::string bytes_, method_, target_, query_, reply_;
     std::size_t end_ = 0, body_ = 0;
     bool in_body_ = false, host_ = false, length_ = false;
--- a/src/protocol/switches.cpp
+++ b/src/protocol/switches.cpp
@@ -7,11 +7,11 @@
     switch (cause) {
         case cause::kNoCircuit:
             return Outcome::turned_back;
-        case cause::kTimer:
+        case cause::kTimerExpired:
             return Outcome::not_sent;
         case cause::kReset:
             return Outcome::reset;
-        case cause::kGivenUp:
+        case cause::kNormalClearing:
             return Outcome::ended;
         default:
             return Outcome::failed;
@@ -29,29 +29,30 @@
 
 }  // namespace
 
-bool SwitchSession::fed(std::size_t bytes) {
-    const bool well_formed = inbox_.fed(bytes, [this](const Message& message) { return take(message); });
+bool SwitchSession::consume(std::size_t bytes) {
+    const bool well_formed = inbox_.consume(bytes, [this](const Message& message) { return take(message); });
     if (!well_formed) ++counters_.malformed;
     return well_formed;
 }
 
 bool SwitchSession::take(const Message& message) {
     switch (message.type) {
-        case Type::answer:
+        case MessageType::answer:
             // Without a description it is spoilt: a caller is told only what a carrier switch made for it.
-            if (!message.find(Code::description)) return false;
-            events_.stands(at_, message.call(), message.text(Code::description));
+            if (!message.find(ParameterCode::description)) return false;
+            events_.on_answer(at_, message.call(), message.text(ParameterCode::description));
             return true;
-        case Type::release:
-            events_.ended(at_, message.call(), outcome_of(message.cause()),
-                          cause_of(message.text(Code::note)), read_report(message.text(Code::report)));
+        case MessageType::release:
+            events_.on_call_ended(at_, message.call(), outcome_of(message.cause()),
+                                  cause_of(message.text(ParameterCode::note)),
+                                  read_load_report(message.text(ParameterCode::report)));
             return true;
-        case Type::group_state:
-            events_.group_state(at_, read_report(message.text(Code::report)));
+        case MessageType::group_state:
+            events_.on_group_state(at_, read_load_report(message.text(ParameterCode::report)));
             return true;
-        case Type::progress:
-        case Type::release_heard:
-        case Type::test_result:
+        case MessageType::progress:
+        case MessageType::release_complete:
+        case MessageType::health_check_result:
             ++counters_.ignored;
             return true;
         default:  // noise that happens to have a length: what follows it can't be trusted either
@@ -59,18 +60,19 @@
     }
 }
 
-Frame SwitchSession::set_up(const Forward& forward) {
-    const auto wait = std::chrono::ceil<std::chrono::milliseconds>(forward.wait).count();
-    FrameBuilder frame(Type::set_up, forward.call);
-    frame.text(Code::service_class, forward.service_class).text(Code::patience, std::to_string(wait));
-    if (!forward.number.empty()) frame.text(Code::number, forward.number);
-    Frame done = frame.done(forward.description);
-    done.attempt = true;
+Frame SwitchSession::set_up_frame(const OutgoingSetUp& forward) {
+    const auto wait = std::chrono::ceil<std::chrono::milliseconds>(forward.time_limit).count();
+    FrameBuilder frame(MessageType::set_up, forward.call);
+    frame.text(ParameterCode::service_class, forward.service_class)
+        .text(ParameterCode::time_left, std::to_string(wait));
+    if (!forward.number.empty()) frame.text(ParameterCode::number, forward.number);
+    Frame done = frame.build(forward.description);
+    done.is_attempt = true;
     return done;
 }
 
-Frame SwitchSession::release(const CallId& call) {
-    return FrameBuilder(Type::release, call).cause(cause::kGivenUp).done();
+Frame SwitchSession::release_frame(const CallId& call) {
+    return FrameBuilder(MessageType::release, call).cause(cause::kNormalClearing).build();
 }
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/switches.hpp
+++ b/src/protocol/switches.hpp
@@ -13,15 +13,15 @@
     SwitchSession(ExchangeId at, SwitchEvents& events, Counters& counters)
         : at_(std::move(at)), events_(events), counters_(counters) {}
 
-    std::span<char> space() { return inbox_.space(); }
+    std::span<char> read_buffer() { return inbox_.read_buffer(); }
     // Takes what was read into space(). False: malformed, the connection is to be closed.
-    bool fed(std::size_t bytes);
+    bool consume(std::size_t bytes);
 
-    bool within_message() const { return inbox_.within_message(); }
+    bool has_partial_message() const { return inbox_.has_partial_message(); }
     std::uint64_t whole_messages() const { return inbox_.whole_messages(); }
 
-    static Frame set_up(const Forward& forward);
-    static Frame release(const CallId& call);  // before the answer it gives the set-up up
+    static Frame set_up_frame(const OutgoingSetUp& forward);
+    static Frame release_frame(const CallId& call);  // before the answer it gives the set-up up
 
    private:
     bool take(const Message& message);  // false: malformed
@@ -29,7 +29,7 @@
     ExchangeId at_;
     SwitchEvents& events_;
     Counters& counters_;
-    Inbox inbox_;
+    MessageReader inbox_;
 };
 
 }  // namespace nettlestall::protocol
--- a/src/trunk/front.cpp
+++ b/src/trunk/front.cpp
@@ -29,15 +29,15 @@
     return {Outcome::reset, Cause::none};
 }
 
-Reason reason_of(Ending ending) {
+Reason reason_of(ReleaseReason ending) {
     switch (ending) {
-        case Ending::refused:
+        case ReleaseReason::refused:
             return Reason::refused;
-        case Ending::failed:
+        case ReleaseReason::failed:
             return Reason::failed;
-        case Ending::ended:
+        case ReleaseReason::ended:
             return Reason::normal;
-        case Ending::cut:
+        case ReleaseReason::cut:
             break;
     }
     return Reason::cut;
@@ -67,7 +67,7 @@
         } else if (const auto* stands = std::get_if<Remember>(&effect)) {
             if (!front_.ledger_) continue;
             LedgerCall call{settings_.id, stands->claim, stands->call, stands->outgoing, {}, {}};
-            const ExchangeId* at = front_.table_.whereabouts(stands->call);
+            const ExchangeId* at = front_.table_.exchange_of(stands->call);
             if (!stands->outgoing && at) call.at = *at;
             if (stands->outgoing) call.origin = front_.table_.origin_of(stands->call);
             front_.ledger_->remember(call);
@@ -105,7 +105,7 @@
     LoadReport load;
     load.free_circuits = free;
     load.group_size = group_.circuits().size();
-    front_.switches_.group_state(settings_.exchange, load);
+    front_.switches_.on_group_state(settings_.exchange, load);
 }
 
 void Front::Trunk::tell(const Offered& effect) {
@@ -115,32 +115,32 @@
     if (const auto before = incoming_.find(data.call); before != incoming_.end()) {
         const CallRef ref = before->second;
         incoming_.erase(before);
-        front_.callers_.released(*this, data.call);
+        front_.callers_.on_release(*this, data.call);
         Effects effects;
         group_.release(front_.time_(), ref, Reason::normal, effects);
         carry_out(std::move(effects));
     }
     ++front_.counts_.offered;
     incoming_[data.call] = effect.ref;
-    Offer offer;
+    SetUpRequest offer;
     offer.call = data.call;
     offer.service_class = data.service_class;
     offer.number = data.number;
     offer.description = data.description;
-    offer.patience = std::max(kShortestWait, data.wait);
+    offer.time_left = std::max(kShortestWait, data.wait);
     offer.destination = data.destination;
     offer.width = effect.width;
     offer.via = data.via;
     offer.transit = true;
-    offer.again = data.again;
+    offer.was_cut = data.again;
     offer.redial = data.redial;
-    front_.callers_.offered(*this, offer);
+    front_.callers_.on_set_up(*this, offer);
 }
 
 void Front::Trunk::tell(const Answered& effect) {
     const auto at = outgoing_.find(effect.call);
     if (at == outgoing_.end() || at->second != effect.ref) return;
-    front_.switches_.stands(settings_.exchange, effect.call, effect.description);
+    front_.switches_.on_answer(settings_.exchange, effect.call, effect.description);
 }
 
 void Front::Trunk::tell(const Ended& effect) {
@@ -148,28 +148,28 @@
     const auto at = of.find(effect.call);
     if (at == of.end() || at->second != effect.ref) return;
     of.erase(at);
-    if (!effect.outgoing) return front_.callers_.released(*this, effect.call);
+    if (!effect.outgoing) return front_.callers_.on_release(*this, effect.call);
     if (effect.reason == Reason::glare && front_.glare_lost_) front_.glare_lost_(*this, effect.call);
     // Of two hubs the far one knows best whether it was the call's destination; here any refusal is its own.
     const auto [outcome, cause] = meaning(effect.reason, effect.stood, true);
-    front_.switches_.ended(settings_.exchange, effect.call, outcome, cause, {});
+    front_.switches_.on_call_ended(settings_.exchange, effect.call, outcome, cause, {});
 }
 
-void Front::Trunk::set_up(const Forward& forward) {
+void Front::Trunk::set_up(const OutgoingSetUp& forward) {
     CallData data{.call = forward.call,
                   .service_class = forward.service_class,
                   .number = forward.number,
                   .description = forward.description ? *forward.description : std::string(),
                   .destination = forward.destination,
                   .via = front_.own_number_,
-                  .wait = forward.wait,
-                  .again = forward.again,
+                  .wait = forward.time_limit,
+                  .again = forward.was_cut,
                   .redial = forward.redial};
     Effects effects;
     const CallRef ref = group_.set_up(front_.time_(), std::move(data), forward.width, effects);
     if (ref == kNoCall)
-        return front_.switches_.ended(settings_.exchange, forward.call, Outcome::turned_back,
-                                      Cause::no_circuit, {});
+        return front_.switches_.on_call_ended(settings_.exchange, forward.call, Outcome::turned_back,
+                                              Cause::no_circuit, {});
     outgoing_[forward.call] = ref;
     carry_out(std::move(effects));
 }
@@ -192,7 +192,7 @@
     carry_out(std::move(effects));
 }
 
-void Front::Trunk::release(const CallId& call, Ending ending) {
+void Front::Trunk::release(const CallId& call, ReleaseReason ending) {
     const auto at = incoming_.find(call);
     if (at == incoming_.end()) return;
     const CallRef ref = at->second;
@@ -259,7 +259,7 @@
         if (leg.state == LegState::yielding || leg.state == LegState::releasing) continue;
         const auto& of = leg.outgoing ? outgoing_ : incoming_;
         const auto at = of.find(leg.call);
-        const ExchangeId* where = front_.table_.whereabouts(leg.call);
+        const ExchangeId* where = front_.table_.exchange_of(leg.call);
         const bool known =
             at != of.end() && at->second == ref && where && (!leg.outgoing || *where == settings_.exchange);
         if (!known) orphans.emplace_back(leg.call, ref);
@@ -280,13 +280,13 @@
         if (held(outgoing_, call)) continue;
         ++front_.counts_.lost;
         outgoing_.erase(call);
-        front_.switches_.ended(settings_.exchange, call, Outcome::reset, Cause::none, {});
+        front_.switches_.on_call_ended(settings_.exchange, call, Outcome::reset, Cause::none, {});
     }
     for (const CallId& call : front_.table_.calls_from(*this)) {
         if (held(incoming_, call)) continue;
         ++front_.counts_.lost;
         incoming_.erase(call);
-        front_.callers_.released(*this, call);
+        front_.callers_.on_release(*this, call);
     }
 }
 
@@ -405,11 +405,11 @@
     if (Trunk* const trunk = find(group)) trunk->group_.restore(circuit, blocking);
 }
 
-void Front::set_up(const ExchangeId& at, const Forward& forward) {
+void Front::set_up(const ExchangeId& at, const OutgoingSetUp& forward) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end()) trunk->second->set_up(forward);
 }
 
-void Front::give_up(const ExchangeId& at, const CallId& call) {
+void Front::cancel(const ExchangeId& at, const CallId& call) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
         trunk->second->let_go(call, Reason::normal);
 }
--- a/src/trunk/front.hpp
+++ b/src/trunk/front.hpp
@@ -78,8 +78,8 @@
                         const std::function<void(const LedgerCall&, CallerLink*)>& tell_table);
     void restore_blocked(std::uint32_t group, CircuitNumber circuit, Blocking blocking);
 
-    void set_up(const ExchangeId& at, const Forward& forward) override;
-    void give_up(const ExchangeId& at, const CallId& call) override;
+    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override;
+    void cancel(const ExchangeId& at, const CallId& call) override;
     void release(const ExchangeId& at, const CallId& call) override;
 
     // Whoever runs the timers hears of each earlier moment; whoever writes, of a group with bytes to write.
@@ -139,7 +139,7 @@
     CallRef ref_of(const CallId& call) const;
 
     void answer(const CallId& call, Description description) override;
-    void release(const CallId& call, Ending ending) override;
+    void release(const CallId& call, ReleaseReason ending) override;
     std::string_view origin() const override { return origin_; }
 
     void link_up(bool resumed) override;
@@ -148,7 +148,7 @@
    private:
     friend class Front;
 
-    void set_up(const Forward& forward);
+    void set_up(const OutgoingSetUp& forward);
     void let_go(const CallId& call, Reason reason);  // of ours
     bool restore(const LedgerCall& call);
     void sweep();  // what only one of group and call table has
--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -41,7 +41,7 @@
             front_.restore_blocked(blocked.group, blocked.circuit, blocked.blocking);
         const std::size_t back = front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
             const ExchangeId at = call.outgoing ? front_.find(call.group)->settings().exchange : call.at;
-            gatekeeper_.take_standing(at, call.call, call.origin, link);
+            gatekeeper_.accept_standing(at, call.call, call.origin, link);
         });
         if (back > 0)
             log_.info("ledger: " + std::to_string(back) + " calls stood; those that the far ends know go on");
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -83,7 +83,7 @@
 }
 
 void garbage_is_no_file() {
-    test::Dice dice{11};
+    test::Random dice{11};
     const std::string good = trunk(kGroup + "<audit every-s=\"9\"/></group>");
     for (int i = 0; i < 3000; ++i) {
         std::string bent = good;
--- a/tests/net/check.hpp
+++ b/tests/net/check.hpp
@@ -15,7 +15,7 @@
 
 namespace nettlestall::test {
 
-struct Dice {  // xorshift: the same numbers everywhere
+struct Random {  // xorshift: the same numbers everywhere
     std::uint64_t state;
     std::size_t below(std::size_t end) {
         state ^= state << 13, state ^= state >> 7, state ^= state << 17;
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -61,7 +61,7 @@
 };
 
 struct Heard {
-    Type type;
+    MessageType type;
     CallId call;
     int cause;
     std::string description, number, service_class;
@@ -88,37 +88,37 @@
         CHECK(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
               static_cast<ssize_t>(bytes.size()));
     }
-    void say(const Frame& frame) { say(frame.head + (frame.tail ? *frame.tail : "")); }
+    void say(const Frame& frame) { say(frame.header + (frame.description ? *frame.description : "")); }
     // The next message that is not merely polite.
     Heard hear() {
         for (Message message;;) {
-            const Inbox::Next next = inbox_.next(message);
-            CHECK(next != Inbox::Next::malformed);
-            if (next == Inbox::Next::message) {
-                if (message.type == Type::release_heard) continue;
+            const MessageReader::Result next = inbox_.next(message);
+            CHECK(next != MessageReader::Result::malformed);
+            if (next == MessageReader::Result::message) {
+                if (message.type == MessageType::release_complete) continue;
                 return {message.type,
                         message.call(),
                         message.cause(),
-                        std::string(message.text(Code::description)),
-                        std::string(message.text(Code::number)),
-                        std::string(message.text(Code::service_class))};
+                        std::string(message.text(ParameterCode::description)),
+                        std::string(message.text(ParameterCode::number)),
+                        std::string(message.text(ParameterCode::service_class))};
             }
-            const auto space = inbox_.space();
+            const auto space = inbox_.read_buffer();
             const ssize_t bytes = ::recv(fd_.get(), space.data(), space.size(), 0);
             CHECK(bytes > 0);
-            inbox_.filled(static_cast<std::size_t>(bytes));
+            inbox_.add_bytes(static_cast<std::size_t>(bytes));
         }
     }
     // What has come by now; waits for nothing unless nothing has. False: the far end has closed.
     template <class F>
     bool drain(F&& take) {
-        const auto space = inbox_.space();
+        const auto space = inbox_.read_buffer();
         const ssize_t bytes = ::recv(fd_.get(), space.data(), space.size(), 0);
         if (bytes <= 0) return false;
-        inbox_.filled(static_cast<std::size_t>(bytes));
-        Inbox::Next next;
-        for (Message message; (next = inbox_.next(message)) == Inbox::Next::message;) take(message);
-        CHECK(next == Inbox::Next::more);
+        inbox_.add_bytes(static_cast<std::size_t>(bytes));
+        MessageReader::Result next;
+        for (Message message; (next = inbox_.next(message)) == MessageReader::Result::message;) take(message);
+        CHECK(next == MessageReader::Result::incomplete);
         return true;
     }
     int fd() const { return fd_.get(); }
@@ -141,7 +141,7 @@
 
    private:
     Fd fd_;
-    Inbox inbox_;
+    MessageReader inbox_;
 };
 
 class Listener {
@@ -228,31 +228,32 @@
 }
 
 inline std::string set_up(const CallId& call, int to, int patience_ms, const char* service_class = "move") {
-    const Frame frame = FrameBuilder(Type::set_up, call)
-                            .text(Code::service_class, service_class)
-                            .text(Code::patience, std::to_string(patience_ms))
-                            .text(Code::number, "7f3a")
-                            .text(Code::figures, "dest:" + std::to_string(to) + ";width:1;via:-1")
-                            .done(std::make_shared<const std::string>("offer of " + call));
-    return frame.head + *frame.tail;
+    const Frame frame = FrameBuilder(MessageType::set_up, call)
+                            .text(ParameterCode::service_class, service_class)
+                            .text(ParameterCode::time_left, std::to_string(patience_ms))
+                            .text(ParameterCode::number, "7f3a")
+                            .text(ParameterCode::attributes, "dest:" + std::to_string(to) + ";width:1;via:-1")
+                            .build(std::make_shared<const std::string>("offer of " + call));
+    return frame.header + *frame.description;
 }
 
 inline Frame answer(const CallId& call) {
-    return FrameBuilder(Type::answer, call).done(std::make_shared<const std::string>("media\r\n of " + call));
+    return FrameBuilder(MessageType::answer, call)
+        .build(std::make_shared<const std::string>("media\r\n of " + call));
 }
 
 inline Frame group(const char* state) {
-    return FrameBuilder(Type::group_state, "").text(Code::report, state).done();
+    return FrameBuilder(MessageType::group_state, "").text(ParameterCode::report, state).build();
 }
 
 inline Frame release(const CallId& call, std::uint8_t cause) {
-    return FrameBuilder(Type::release, call).cause(cause).done();
+    return FrameBuilder(MessageType::release, call).cause(cause).build();
 }
 
 inline Heard test(Peer& caller) {
-    caller.say(FrameBuilder(Type::test, "00000000000000aa").cause(0).done());
+    caller.say(FrameBuilder(MessageType::health_check, "00000000000000aa").cause(0).build());
     const Heard heard = caller.hear();
-    CHECK(heard.type == Type::test_result && heard.call == "00000000000000aa");
+    CHECK(heard.type == MessageType::health_check_result && heard.call == "00000000000000aa");
     return heard;
 }
 
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -40,7 +40,7 @@
         caller.say(set_up(call, 1, 20'000));
         CHECK(at_switch.hear().call == call);
         at_switch.say(answer(call));
-        CHECK(caller.hear().type == Type::answer);
+        CHECK(caller.hear().type == MessageType::answer);
     }
 
     Listener at, feed_at;
@@ -106,13 +106,13 @@
         busy.say(set_up(call, 1, 20'000));
         if (first_to_speak(busy, site.at_switch) == &busy) {
             const Heard heard = busy.hear();
-            CHECK(heard.type == Type::release && heard.cause == 34 && heard.call == call);
+            CHECK(heard.type == MessageType::release && heard.cause == 34 && heard.call == call);
             break;
         }
         CHECK(site.at_switch.hear().call == call);
         site.at_switch.say(group("x0:9;x1:9"));
         site.at_switch.say(answer(call));
-        CHECK(busy.hear().type == Type::answer);
+        CHECK(busy.hear().type == MessageType::answer);
         site.at_switch.say(release(call, 16));
         CHECK(busy.hear().cause == 16);
         usleep(30'000);
@@ -181,7 +181,7 @@
     CHECK(quiet.hear().call == kThree);
     CHECK(test(busy).cause == 1);
     site.at_switch.say(answer(kTwo));
-    CHECK(busy.hear().type == Type::answer);
+    CHECK(busy.hear().type == MessageType::answer);
     // What ends on the old one's connection is told by the new one; what callers end goes by the new one.
     site.at_switch.say(release(kOne, 16));
     const Heard heard = first_to_speak(quiet, busy)->hear();  // the same caller's, whichever
@@ -196,7 +196,7 @@
     CHECK(site.program.exit_code() == 0);
     CHECK(test(busy).cause == 1 && test(quiet).cause == 1);
     next.at_switch.say(answer(kTwo));
-    CHECK(open.hear().type == Type::answer);
+    CHECK(open.hear().type == MessageType::answer);
     CHECK(has(operators(next.desk, "GET /metrics"), "move.success:2|c"));
     CHECK(has(site.program.log(), " client_connections_passed_on=2 "));
     next.program.signal(SIGKILL);  // what it leaves behind is in nobody's way
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -86,17 +86,17 @@
         caller.say(set_up(call, 1, 20'000));
         CHECK(at_switch.hear().call == call);
         at_switch.say(answer(call));
-        CHECK(caller.hear().type == Type::answer);
+        CHECK(caller.hear().type == MessageType::answer);
     }
     const CallId last = "0000000000000001";
     caller.say(set_up("000000000000ffff", 1, 20'000));
     const Heard refused = caller.hear();
-    CHECK(refused.type == Type::release && refused.cause == 34);
+    CHECK(refused.type == MessageType::release && refused.cause == 34);
     program.await_log("the table is full with 262 calls; the oldest: 0000000000000001 at s-1");
     caller.say(release(last, 16));
     CHECK(at_switch.hear().call == last);
     caller.say(set_up("000000000000fffe", 1, 20'000));
-    CHECK(at_switch.hear().type == Type::set_up);
+    CHECK(at_switch.hear().type == MessageType::set_up);
 }
 
 // Connections that are held for nothing cost no ordinary caller a place: neither by their number nor for
@@ -143,7 +143,7 @@
     caller.say(set_up(one, 1, 20'000));
     CHECK(at_switch.hear().call == one);
     at_switch.say(answer(one));
-    CHECK(caller.hear().type == Type::answer);
+    CHECK(caller.hear().type == MessageType::answer);
     std::vector<Peer> crowd;
     for (int i = 1; i <= 60; ++i) {
         crowd.push_back(Peer::connect(port, ("127.1.0." + std::to_string(i)).c_str()));
@@ -151,7 +151,7 @@
     }
     at_switch.say(release(one, 16));
     const Heard heard = caller.hear();
-    CHECK(heard.type == Type::release && heard.call == one);
+    CHECK(heard.type == MessageType::release && heard.call == one);
 }
 
 // An answer stops short and the connection stays open: what is out there would wait behind it for ever.
@@ -167,16 +167,16 @@
     caller.say(set_up(one, 1, 20'000));
     CHECK(at_switch.hear().call == one);
     const Frame whole = answer(one);
-    at_switch.say(whole.head.substr(0, 9));
+    at_switch.say(whole.header.substr(0, 9));
     Peer again = at.accept();
     again.say(group("x0:9;x1:9"));
     CHECK(at_switch.closed_by_far_end());
     Heard heard = again.hear();  // should its answer have been lost, it stands for nobody
-    CHECK(heard.type == Type::release && heard.call == one);
+    CHECK(heard.type == MessageType::release && heard.call == one);
     heard = again.hear();
-    CHECK(heard.type == Type::set_up && heard.call == one);
+    CHECK(heard.type == MessageType::set_up && heard.call == one);
     again.say(whole);
-    CHECK(caller.hear().type == Type::answer);
+    CHECK(caller.hear().type == MessageType::answer);
 }
 
 void it_serves(const char* path) {
@@ -194,24 +194,25 @@
     const CallId one = "0000000000000001", two = "0000000000000002", three = "0000000000000003";
     caller.say(set_up(one, 1, 20'000));
     const Heard sent = at_switch.hear();
-    CHECK(sent.type == Type::set_up && sent.call == one && sent.description == "offer of " + one);
+    CHECK(sent.type == MessageType::set_up && sent.call == one && sent.description == "offer of " + one);
     CHECK(sent.number == "7f3a" && sent.service_class == "move");
     at_switch.say(answer(one));
     Heard heard = caller.hear();
-    CHECK(heard.type == Type::answer && heard.call == one && heard.description == "media\r\n of " + one);
+    CHECK(heard.type == MessageType::answer && heard.call == one &&
+          heard.description == "media\r\n of " + one);
     // The group's state goes before the release, so that whoever hears of the release knows it was read.
     at_switch.say(group("x0:0;x1:9"));
     at_switch.say(release(one, 16));
     heard = caller.hear();
-    CHECK(heard.type == Type::release && heard.call == one && heard.cause == 16);
+    CHECK(heard.type == MessageType::release && heard.call == one && heard.cause == 16);
 
     // Refused: no circuit is free. Failed: nobody knows its class.
     caller.say(set_up(two, 1, 200));
     heard = caller.hear();
-    CHECK(heard.type == Type::release && heard.call == two && heard.cause == 34);
+    CHECK(heard.type == MessageType::release && heard.call == two && heard.cause == 34);
     caller.say(set_up(three, 1, 200, "nonsense"));
     heard = caller.hear();
-    CHECK(heard.type == Type::release && heard.call == three && heard.cause == 47);
+    CHECK(heard.type == MessageType::release && heard.call == three && heard.cause == 47);
 
     // What is malformed closes its own connection and harms nobody else.
     Peer noise = Peer::connect(port);
@@ -235,21 +236,21 @@
     at_second.hang_up();
     at_second = second.accept();
     at_second.say(group("x0:9;x1:9"));
-    CHECK(at_second.hear().type == Type::release);
+    CHECK(at_second.hear().type == MessageType::release);
     CHECK(at_second.hear().call == six);
     at_second.say(answer(six));
-    CHECK(caller.hear().type == Type::answer);
+    CHECK(caller.hear().type == MessageType::answer);
 
     // A process dies: its port refuses, and what stood there is cut.
     at_switch.say(group("x0:9;x1:9"));
     caller.say(set_up(seven, 1, 20'000));
     CHECK(at_switch.hear().call == seven);
     at_switch.say(answer(seven));
-    CHECK(caller.hear().type == Type::answer);
+    CHECK(caller.hear().type == MessageType::answer);
     first.hang_up();
     at_switch.hang_up();
     heard = caller.hear();
-    CHECK(heard.type == Type::release && heard.call == seven && heard.cause == 41);
+    CHECK(heard.type == MessageType::release && heard.call == seven && heard.cause == 41);
 
     // SIGTERM: an open set-up is served to its answer, a new connection too, and then it ends.
     const CallId four = "0000000000000004", five = "0000000000000005";
@@ -263,7 +264,7 @@
     late.say(set_up(five, 2, 20'000));
     CHECK(at_second.hear().call == five);
     at_second.say(answer(five));
-    CHECK(late.hear().type == Type::answer);
+    CHECK(late.hear().type == MessageType::answer);
     at_second.say(answer(four));
     CHECK(caller.hear().description == "media\r\n of " + four);
     CHECK(program.exit_code() == 0);
--- a/tests/trunk/front_test.cpp
+++ b/tests/trunk/front_test.cpp
@@ -20,7 +20,7 @@
 struct Callers final : CallerLink {
     std::map<CallId, Words> heard;
     void answer(const CallId& call, Description) override { heard[call].push_back("answer"); }
-    void release(const CallId& call, Ending ending) override {
+    void release(const CallId& call, ReleaseReason ending) override {
         const char* const names[] = {"refused", "failed", "ended", "cut"};
         heard[call].push_back(names[static_cast<int>(ending)]);
     }
@@ -30,8 +30,8 @@
 struct Lines final : Switches {
     std::vector<CallId> offered;
     std::set<CallId> gone;
-    void set_up(const ExchangeId&, const Forward& f) override { offered.push_back(f.call); }
-    void give_up(const ExchangeId&, const CallId& call) override { gone.insert(call); }
+    void set_up(const ExchangeId&, const OutgoingSetUp& f) override { offered.push_back(f.call); }
+    void cancel(const ExchangeId&, const CallId& call) override { gone.insert(call); }
     void release(const ExchangeId&, const CallId& call) override { gone.insert(call); }
 };
 
@@ -67,23 +67,23 @@
         g.rules.ends = {number * 10, (3 - number) * 10}, g.rules.circuits = circuits;
         trunk = &front.add(g);
         front.begin(1, nullptr);
-        routes.add("far", front);
+        routes.add_route("far", front);
         ListedExchange own;
         own.entry.exchange = "lines", own.entry.number = number;
         front.add_lines(own);
-        table.list(front.with_hubs(
+        table.apply_list(front.with_hubs(
             {.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}}));
         LoadReport room;
         room.free_circuits = room.group_size = 100;
-        table.group_state("lines", room);
-        table.caller_up(callers);
+        table.on_group_state("lines", room);
+        table.on_caller_connected(callers);
     }
     void call(const CallId& id, int to, int width = 1, Duration patience = 5s) {
-        Offer o;
+        SetUpRequest o;
         o.call = id, o.service_class = width == 1 ? "move" : "live-board", o.number = id,
         o.description = "offer";
-        o.patience = patience, o.destination = to, o.width = width;
-        table.offered(callers, o);
+        o.time_left = patience, o.destination = to, o.width = width;
+        table.on_set_up(callers, o);
     }
     const Words& heard(const CallId& id) { return callers.heard[id]; }
 };
@@ -107,7 +107,7 @@
     void pass(Duration time) {
         for (const Instant end = now + time; now < end;) {
             now += 5ms;
-            for (Hub* hub : {&a, &b}) hub->table.run_due(), hub->front.run_due();
+            for (Hub* hub : {&a, &b}) hub->table.run_timers(), hub->front.run_due();
             pump();
         }
     }
@@ -119,18 +119,18 @@
     p.a.call("x", 2);
     p.pump();
     CHECK(p.b.lines.offered == std::vector<CallId>{"x"});
-    p.b.table.stands("lines", "x", "media");
+    p.b.table.on_answer("lines", "x", "media");
     p.pump();
     CHECK(p.a.heard("x") == Words{"answer"} && p.busy() == 2);
-    p.b.table.ended("lines", "x", Outcome::ended, Cause::none, {});
+    p.b.table.on_call_ended("lines", "x", Outcome::ended, Cause::none, {});
     p.pump();
     CHECK((p.a.heard("x") == Words{"answer", "ended"}) && p.busy() == 0);
     // Ended by the caller.
     p.a.call("y", 2);
     p.pump();
-    p.b.table.stands("lines", "y", "media");
+    p.b.table.on_answer("lines", "y", "media");
     p.pump();
-    p.a.table.released(p.a.callers, "y");
+    p.a.table.on_release(p.a.callers, "y");
     p.pump();
     CHECK(p.b.lines.gone.count("y") && p.busy() == 0 && p.a.table.calls() == 0 && p.b.table.calls() == 0);
 }
@@ -140,7 +140,7 @@
     Pair p(2);
     for (const char* id : {"x", "y", "z"}) p.a.call(id, 2), p.pump();
     CHECK(p.b.lines.offered.size() == 2 && p.a.heard("z").empty());  // it waits for a circuit
-    p.a.table.released(p.a.callers, "x");
+    p.a.table.on_release(p.a.callers, "x");
     p.pump();
     CHECK(p.b.lines.offered.size() == 3);
     p.drop();
@@ -156,16 +156,16 @@
     p.a.call("a1", 2), p.b.call("b1", 1);  // own halves: no glare
     p.pump();
     CHECK(p.a.lines.offered.size() == 1 && p.b.lines.offered.size() == 1);
-    p.a.table.released(p.a.callers, "a1"), p.b.table.released(p.b.callers, "b1");
+    p.a.table.on_release(p.a.callers, "a1"), p.b.table.on_release(p.b.callers, "b1");
     p.pump();
     p.a.call("a2", 2), p.a.call("a3", 2), p.b.call("b2", 1);  // circuit 2 is wanted by both
     p.pump();
     CHECK(p.b.lines.offered.back() == "a2" && p.a.lines.offered.back() == "b2");
     CHECK(p.a.trunk->group().counts().glares_lost == 1 && p.a.heard("a3").empty());
-    p.b.table.released(p.b.callers, "b2");
+    p.b.table.on_release(p.b.callers, "b2");
     p.pump();  // no time has passed
     CHECK(p.b.lines.offered.back() == "a3");
-    p.b.table.stands("lines", "a3", "media");
+    p.b.table.on_answer("lines", "a3", "media");
     p.pump();
     CHECK(p.a.heard("a3") == Words{"answer"});
 }
@@ -176,14 +176,14 @@
         Pair p(1);
         p.a.call("a", 2, 1, 100ms), p.b.call("b", 1, 1, 100ms);
         p.collect();
-        if (when == 0) p.b.table.released(p.b.callers, "b");
+        if (when == 0) p.b.table.on_release(p.b.callers, "b");
         if (when == 1) p.drop(), p.connect();
         p.pump();
-        if (when == 2) p.b.table.released(p.b.callers, "b");
+        if (when == 2) p.b.table.on_release(p.b.callers, "b");
         p.pump();
         p.pass(1s);
         CHECK(p.a.heard("a").size() == 1 && p.b.heard("b").size() == (when == 1 ? 1u : 0u));
-        CHECK(p.busy() == 0 && p.a.table.unanswered() == 0 && p.b.table.unanswered() == 0);
+        CHECK(p.busy() == 0 && p.a.table.unanswered_calls() == 0 && p.b.table.unanswered_calls() == 0);
     }
 }
 
@@ -191,7 +191,7 @@
     Pair p(4);
     p.a.call("s", 2), p.a.call("o", 2, 1, 2s);
     p.pump();
-    p.b.table.stands("lines", "s", "media");
+    p.b.table.on_answer("lines", "s", "media");
     p.pump();
     p.drop();
     CHECK(p.b.lines.gone.count("o") && !p.b.lines.gone.count("s"));
@@ -201,11 +201,11 @@
     CHECK(p.b.lines.offered.size() == 2);  // not before 300 ms have passed
     p.pass(200ms);
     CHECK(p.b.lines.offered.size() == 3 && p.b.lines.offered.back() == "o");
-    p.b.table.ended("lines", "s", Outcome::ended, Cause::none, {});
+    p.b.table.on_call_ended("lines", "s", Outcome::ended, Cause::none, {});
     p.pump();
     CHECK((p.a.heard("s") == Words{"answer", "ended"}));
     // One whose link stays away is cut at both ends.
-    p.b.table.stands("lines", "o", "media");
+    p.b.table.on_answer("lines", "o", "media");
     p.pump();
     p.drop();
     p.pass(31s);
@@ -218,7 +218,7 @@
         Pair p(4);
         p.a.call("x", 2, 3);
         p.pump();
-        p.b.table.stands("lines", "x", "media");
+        p.b.table.on_answer("lines", "x", "media");
         p.pump();
         Hub& forgetful = near ? p.a : p.b;
         forgetful.trunk->lose_memory_of(forgetful.trunk->ref_of("x"));
--- a/tests/trunk/glare_test.cpp
+++ b/tests/trunk/glare_test.cpp
@@ -56,16 +56,16 @@
             for (int h = 0; h < 2; ++h) {
                 if (sources[2 + h].revents)
                     CHECK(lines[h].drain([&](const Message& message) {
-                        if (message.type == Type::set_up) lines[h].say(answer(message.call()));
-                        if (message.type == Type::release) lines[h].say(group("x0:500;x1:500"));
+                        if (message.type == MessageType::set_up) lines[h].say(answer(message.call()));
+                        if (message.type == MessageType::release) lines[h].say(group("x0:500;x1:500"));
                     }));
                 if (sources[h].revents)
                     CHECK(callers[h].drain([&](const Message& message) {
                         const CallId call = message.call();
-                        if (message.type == Type::answer) {
+                        if (message.type == MessageType::answer) {
                             ++tally.answered, ++tally.finals[call];
                             callers[h].say(release(call, 16));
-                        } else if (message.type == Type::release) {
+                        } else if (message.type == MessageType::release) {
                             ++tally.turned_away, ++tally.finals[call];
                         } else {
                             return;
--- a/tests/trunk/group_test.cpp
+++ b/tests/trunk/group_test.cpp
@@ -234,7 +234,7 @@
     GroupRules a = TwoEnds::rules(low, 4), b = TwoEnds::rules(high, 4);
     a.audit.confirmations = b.audit.confirmations = 1;
     a.audit.every = b.audit.every = 1h;
-    Dice dice{5};
+    Random dice{5};
     for (int run = 0; run < 3000; ++run) {
         TwoEnds t(a, b);
         for (int step = 0; step < 40; ++step) {
@@ -422,7 +422,7 @@
 
 // Traffic at random, messages in any order of the two directions, breaks of both kinds: it always settles.
 void random_traffic_always_settles() {
-    Dice dice{17};
+    Random dice{17};
     for (int run = 0; run < 1500; ++run) {
         TwoEnds t(1 + static_cast<int>(dice.below(6)));
         bool up = true;
--- a/tests/trunk/hubs.hpp
+++ b/tests/trunk/hubs.hpp
@@ -105,14 +105,15 @@
     static std::string call_to(const CallId& call, int to, const char* service_class = "move",
                                int patience_ms = 20'000) {
         const int width = std::string(service_class) == "live-board" ? 3 : 1;
-        const Frame frame = FrameBuilder(Type::set_up, call)
-                                .text(Code::service_class, service_class)
-                                .text(Code::patience, std::to_string(patience_ms))
-                                .text(Code::number, "7f3a")
-                                .text(Code::figures, "dest:" + std::to_string(to) +
-                                                         ";width:" + std::to_string(width) + ";via:-1")
-                                .done(std::make_shared<const std::string>("offer of " + call));
-        return frame.head + *frame.tail;
+        const Frame frame =
+            FrameBuilder(MessageType::set_up, call)
+                .text(ParameterCode::service_class, service_class)
+                .text(ParameterCode::time_left, std::to_string(patience_ms))
+                .text(ParameterCode::number, "7f3a")
+                .text(ParameterCode::attributes,
+                      "dest:" + std::to_string(to) + ";width:" + std::to_string(width) + ";via:-1")
+                .build(std::make_shared<const std::string>("offer of " + call));
+        return frame.header + *frame.description;
     }
 
    private:
--- a/tests/trunk/link_test.cpp
+++ b/tests/trunk/link_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace nettlestall;
 using namespace nettlestall::trunk;
-using test::Dice;
+using test::Random;
 
 namespace {
 
@@ -52,7 +52,7 @@
 }
 
 void a_break_loses_nothing() {
-    Dice dice{3};
+    Random dice{3};
     for (int run = 0; run < 300; ++run) {
         Link link;
         link.connect();
--- a/tests/trunk/parts_test.cpp
+++ b/tests/trunk/parts_test.cpp
@@ -14,7 +14,7 @@
 using namespace nettlestall;
 using namespace nettlestall::trunk;
 using namespace std::chrono_literals;
-using test::Dice;
+using test::Random;
 
 namespace {
 
@@ -36,7 +36,7 @@
 void both_ends_agree_who_yields() {
     const Ends low{10, 20}, high{20, 10};
     CHECK(controls(high, 2) && !controls(low, 2) && controls(low, 1) && !controls(high, 1));
-    Dice dice{99};
+    Random dice{99};
     for (int i = 0; i < 20'000; ++i) {
         std::set<CircuitNumber> a, b;
         for (std::size_t n = 1 + dice.below(5); n > 0; --n) a.insert(1 + static_cast<int>(dice.below(8)));
@@ -236,7 +236,7 @@
 }
 
 void garbage_and_bent_bytes_break_nothing() {
-    Dice dice{4711};
+    Random dice{4711};
     const std::vector<Frame> all = samples();
     for (int i = 0; i < 60'000; ++i) {
         std::string bytes = write(all[dice.below(all.size())]);
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -21,24 +21,24 @@
     Peer caller = Peer::connect(hubs.at(a).callers);
     caller.say(Hubs::call_to(one, 2, "live-board"));
     const Heard offer = lines_b.hear();
-    CHECK(offer.type == Type::set_up && offer.call == one && offer.service_class == "live-board");
+    CHECK(offer.type == MessageType::set_up && offer.call == one && offer.service_class == "live-board");
     CHECK(offer.number == "7f3a" && offer.description == "offer of " + one);
     CHECK(hubs.busy(a) == 3 && hubs.busy(b) == 3);
     lines_b.say(answer(one));
     const Heard answered = caller.hear();
-    CHECK(answered.type == Type::answer && answered.description == "media\r\n of " + one);
+    CHECK(answered.type == MessageType::answer && answered.description == "media\r\n of " + one);
     lines_b.say(release(one, 16));
     const Heard over = caller.hear();
-    CHECK(over.type == Type::release && over.call == one && over.cause == 16);
+    CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
     hubs.await_idle();
     // The other way, ended by the caller; then one that the far lines refuse.
     Peer other = Peer::connect(hubs.at(b).callers);
     other.say(Hubs::call_to(two, 1));
     CHECK(lines_a.hear().call == two);
     lines_a.say(answer(two));
-    CHECK(other.hear().type == Type::answer);
+    CHECK(other.hear().type == MessageType::answer);
     other.say(release(two, 16));
-    CHECK(lines_a.hear().type == Type::release);
+    CHECK(lines_a.hear().type == MessageType::release);
     hubs.await_idle();
 }
 
@@ -52,7 +52,7 @@
         caller.say(Hubs::call_to(one, 2));
         CHECK(lines_b.hear().call == one);
         lines_b.say(answer(one));
-        CHECK(caller.hear().type == Type::answer);
+        CHECK(caller.hear().type == MessageType::answer);
         hubs.crash(crashed);
         Peer lines_again = hubs.lines(crashed);
         hubs.await_link();
@@ -60,7 +60,7 @@
         Peer caller_again = crashed == a ? Peer::connect(hubs.at(a).callers) : std::move(caller);
         (crashed == b ? lines_again : lines_b).say(release(one, 16));
         const Heard over = caller_again.hear();
-        CHECK(over.type == Type::release && over.call == one && over.cause == 16);
+        CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
         hubs.await_idle();
     }
 }
@@ -75,7 +75,7 @@
         caller.say(Hubs::call_to(one, 2));
         CHECK(lines_b.hear().call == one);
         lines_b.say(answer(one));
-        CHECK(caller.hear().type == Type::answer);
+        CHECK(caller.hear().type == MessageType::answer);
         const int desk = Listener().port();
         auto next = hubs.successor(upgraded, desk);
         Peer lines_next = hubs.lines(upgraded);
@@ -87,7 +87,7 @@
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
         (upgraded == b ? lines_next : lines_b).say(release(one, 16));
         const Heard over = caller.hear();
-        CHECK(over.type == Type::release && over.call == one && over.cause == 16);
+        CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
         hubs.await_idle();
         caller.say(Hubs::call_to(two, 2));
         CHECK((upgraded == b ? lines_next : lines_b).hear().call == two);
@@ -102,10 +102,10 @@
     caller.say(Hubs::call_to(one, 2, "live-board"));
     CHECK(lines_b.hear().call == one);
     lines_b.say(answer(one));
-    CHECK(caller.hear().type == Type::answer);
+    CHECK(caller.hear().type == MessageType::answer);
     hubs.crash(b);
     const Heard cut = caller.hear();
-    CHECK(cut.type == Type::release && cut.call == one && cut.cause == 41);
+    CHECK(cut.type == MessageType::release && cut.call == one && cut.cause == 41);
     Peer lines_again = hubs.lines(b);
     hubs.await_link();
     hubs.await_idle();
@@ -160,7 +160,7 @@
     std::vector<Peer> silent;
     for (int i = 0; i < 20; ++i) silent.push_back(Peer::connect(hubs.at(b).trunk));
     lines_b.say(answer(one));
-    CHECK(caller.hear().type == Type::answer && hubs.busy(b) == 1);
+    CHECK(caller.hear().type == MessageType::answer && hubs.busy(b) == 1);
 }
 
 void operators_see_block_and_audit(const char* path) {
@@ -181,7 +181,7 @@
     // A wide call finds no circuits, and blocking outlives the process.
     Peer caller = Peer::connect(hubs.at(a).callers);
     caller.say(Hubs::call_to(one, 2, "live-board", 300));
-    CHECK(caller.hear().type == Type::release);
+    CHECK(caller.hear().type == MessageType::release);
     hubs.crash(a);
     Peer lines_again = hubs.lines(a);
     hubs.await_link();
