--- a/src/cli/circuits.cpp
+++ b/src/cli/circuits.cpp
@@ -32,11 +32,11 @@
 
 }  // namespace
 
-int call_operators(const std::string& at, const std::string& method, const std::string& target) {
+int send_operators_request(const std::string& at, const std::string& method, const std::string& target) {
     const auto to = net::to_endpoint(at);
     if (!to) {
         std::cerr << "nettlestall: '" << at << "': a numeric address:port is expected\n";
-        return kUsage;
+        return kUsageError;
     }
     asio::io_context io(1);
     std::string reply;
@@ -51,7 +51,7 @@
     }
     const bool done = reply.substr(9, 3) == "200";
     (done ? std::cout : std::cerr) << reply.substr(body + 4);
-    return done ? kDone : kRefused;
+    return done ? kSuccess : kRefused;
 }
 
 }  // namespace nettlestall::cli
--- a/src/cli/circuits.hpp
+++ b/src/cli/circuits.hpp
@@ -6,10 +6,10 @@
 namespace nettlestall::cli {
 
 // Exit codes of the command line.
-enum Exit : int { kDone = 0, kFailed = 1, kUsage = 2, kRefused = 3, kUnreachable = 4 };
+enum ExitCode : int { kSuccess = 0, kFailure = 1, kUsageError = 2, kRefused = 3, kUnreachable = 4 };
 
 // Prints the reply's body: on standard output if it was carried out, else on standard error. `at` is
 // address:port.
-int call_operators(const std::string& at, const std::string& method, const std::string& target);
+int send_operators_request(const std::string& at, const std::string& method, const std::string& target);
 
 }  // namespace nettlestall::cli
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -26,7 +26,8 @@
 std::uint64_t read_seed(const std::string& text) {
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-    if (error != std::errc{} || end != text.data() + text.size()) bad_key("seed", "at most 16 hex digits");
+    if (error != std::errc{} || end != text.data() + text.size())
+        throw_bad_key("seed", "at most 16 hex digits");
     return seed;
 }
 
@@ -38,7 +39,7 @@
         const auto [end, error] = std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
         if (error != std::errc{} || end != text.data() + text.size()) port = -1;
     }
-    if (port < 0 || port > 65535) bad_key(key, "address:port");
+    if (port < 0 || port > 65535) throw_bad_key(key, "address:port");
     return text;
 }
 
@@ -48,44 +49,46 @@
     try {
         read();
     } catch (const BadInput& problem) {
-        bad(std::string("in '") + place + "': " + problem.what());
+        throw_bad_input(std::string("in '") + place + "': " + problem.what());
     }
 }
 
 }  // namespace
 
-Config read_config(const std::string& text) {
+Config parse_config(const std::string& text) {
     rapidjson::Document document;
     document.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(text.data(),
                                                                                         text.size());
-    if (document.HasParseError()) bad("not JSON, at byte " + std::to_string(document.GetErrorOffset()));
-    if (!document.IsObject()) bad("must be an object");
+    if (document.HasParseError())
+        throw_bad_input("not JSON, at byte " + std::to_string(document.GetErrorOffset()));
+    if (!document.IsObject()) throw_bad_input("must be an object");
 
     Config c;
-    c.name = take<std::string>(document, "name", "");
-    c.listen = take<std::string>(document, "listen", "");
-    if (find(document, "feed")) c.feed = checked_address(need<std::string>(document, "feed"), "feed");
+    c.name = get_or<std::string>(document, "name", "");
+    c.listen_address = get_or<std::string>(document, "listen", "");
+    if (find(document, "feed"))
+        c.feed_address = checked_address(get_required<std::string>(document, "feed"), "feed");
     if (find(document, "operator"))
-        c.operators = checked_address(need<std::string>(document, "operator"), "operator");
-    c.seed = read_seed(take<std::string>(document, "seed", "1"));
+        c.operators_address = checked_address(get_required<std::string>(document, "operator"), "operator");
+    c.seed = read_seed(get_or<std::string>(document, "seed", "1"));
     within("limits", [&] {
-        const Value& limits = part_or_empty(document, "limits", false);
-        c.memory_mb = take(limits, "memory_mb", kDefaultMemoryMb);
-        c.sockets = take(limits, "sockets", kDefaultSockets);
-        if (c.memory_mb < 1) bad_key("memory_mb", "1 or more");
-        if (c.sockets < kFewestSockets) bad_key("sockets", "32 or more");
+        const Value& limits = get_container_or_empty(document, "limits", false);
+        c.memory_mb = get_or(limits, "memory_mb", kDefaultMemoryMb);
+        c.max_sockets = get_or(limits, "sockets", kDefaultSockets);
+        if (c.memory_mb < 1) throw_bad_key("memory_mb", "1 or more");
+        if (c.max_sockets < kFewestSockets) throw_bad_key("sockets", "32 or more");
     });
-    const Value& settings = part(document, "settings", false);
+    const Value& settings = get_container(document, "settings", false);
     within("settings", [&] {
         c.settings = read_settings(settings);
         c.net = read_net_settings(settings);
     });
     within("known", [&] {
-        const Value& known = part_or_empty(document, "known", false);
-        for (const Value& event : part_or_empty(known, "events", true).GetArray())
-            c.events.push_back(protocol::read_list_event(event));
-        const std::int64_t last = c.events.empty() ? 0 : c.events.back().number;
-        c.known = take<std::int64_t>(known, "n", last);
+        const Value& known = get_container_or_empty(document, "known", false);
+        for (const Value& event : get_container_or_empty(known, "events", true).GetArray())
+            c.known_events.push_back(protocol::read_list_event(event));
+        const std::int64_t last = c.known_events.empty() ? 0 : c.known_events.back().number;
+        c.last_event_number = get_or<std::int64_t>(known, "n", last);
     });
     return c;
 }
@@ -96,31 +99,31 @@
     return std::min(longest, longest_wait) + kWaitsOn - kBeforeTheKill;
 }
 
-Duration Config::time_to_end() const {
+Duration Config::shutdown_time_limit() const {
     return before_the_kill(settings, kLongestWait);
 }
 
-Duration Config::time_to_end_superseded() const {
+Duration Config::shutdown_time_limit_superseded() const {
     return before_the_kill(settings, kLongestWaitSuperseded);
 }
 
 Config load() {
     const char* path = std::getenv("BALANCER_CONFIG");
-    if (!path || !*path) bad("BALANCER_CONFIG is not set");
+    if (!path || !*path) throw_bad_input("BALANCER_CONFIG is not set");
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
-    if (!file) bad(std::string("BALANCER_CONFIG: cannot read ") + path);
+    if (!file) throw_bad_input(std::string("BALANCER_CONFIG: cannot read ") + path);
     Config c;
-    within("BALANCER_CONFIG", [&] { c = read_config(text.str()); });
+    within("BALANCER_CONFIG", [&] { c = parse_config(text.str()); });
     if (const char* name = std::getenv("BALANCER_NAME"); name && *name) c.name = name;
-    if (const char* listen = std::getenv("BALANCER_LISTEN"); listen && *listen) c.listen = listen;
+    if (const char* listen = std::getenv("BALANCER_LISTEN"); listen && *listen) c.listen_address = listen;
     if (const char* at = std::getenv("BALANCER_OPERATOR"); at && *at)
-        c.operators = checked_address(at, "BALANCER_OPERATOR");
-    if (c.listen.empty()) bad("neither BALANCER_LISTEN nor 'listen' is set");
-    c.listen = checked_address(c.listen, "listen");
+        c.operators_address = checked_address(at, "BALANCER_OPERATOR");
+    if (c.listen_address.empty()) throw_bad_input("neither BALANCER_LISTEN nor 'listen' is set");
+    c.listen_address = checked_address(c.listen_address, "listen");
     if (const char* folder = std::getenv("TMPDIR"); folder && *folder)
-        c.handover = std::string(folder) + "/nettlestall-" + c.listen + ".sock";
+        c.handover_path = std::string(folder) + "/nettlestall-" + c.listen_address + ".sock";
     return c;
 }
 
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -21,16 +21,16 @@
     using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void bad(const std::string& what) {
+[[noreturn]] inline void throw_bad_input(const std::string& what) {
     throw BadInput(what);
 }
 
-[[noreturn]] inline void bad_key(const char* key, const char* must) {
-    bad(std::string("'").append(key).append("' must be ").append(must));
+[[noreturn]] inline void throw_bad_key(const char* key, const char* must) {
+    throw_bad_input(std::string("'").append(key).append("' must be ").append(must));
 }
 
-[[noreturn]] inline void missing(const char* key) {
-    bad(std::string("missing '").append(key).append("'"));
+[[noreturn]] inline void throw_missing_key(const char* key) {
+    throw_bad_input(std::string("missing '").append(key).append("'"));
 }
 
 // The member's value; nothing if it is absent or null.
@@ -40,14 +40,14 @@
 }
 
 template <class T>
-constexpr const char* kind_of() {
+constexpr const char* type_name() {
     if constexpr (std::is_same_v<T, bool>) return "true or false";
     if constexpr (std::is_same_v<T, std::string>) return "text";
     return std::is_integral_v<T> ? "a whole number" : "a number";
 }
 
 template <class T>
-T value(const Value& from, const char* key) {
+T convert(const Value& from, const char* key) {
     if constexpr (std::is_same_v<T, bool>) {
         if (from.IsBool()) return from.GetBool();
     } else if constexpr (std::is_same_v<T, std::string>) {
@@ -66,46 +66,46 @@
     } else {
         if (from.IsNumber()) return from.GetDouble();
     }
-    bad_key(key, kind_of<T>());
+    throw_bad_key(key, type_name<T>());
 }
 
 template <class T>
-T need(const Value& object, const char* key) {
+T get_required(const Value& object, const char* key) {
     const Value* at = find(object, key);
-    if (!at) missing(key);
-    return value<T>(*at, key);
+    if (!at) throw_missing_key(key);
+    return convert<T>(*at, key);
 }
 
 template <class T>
-T take(const Value& object, const char* key, T otherwise) {
+T get_or(const Value& object, const char* key, T otherwise) {
     const Value* at = find(object, key);
-    return at ? value<T>(*at, key) : otherwise;
+    return at ? convert<T>(*at, key) : otherwise;
 }
 
-inline const Value& part(const Value& object, const char* key, bool array) {
+inline const Value& get_container(const Value& object, const char* key, bool array) {
     const Value* at = find(object, key);
-    if (!at) missing(key);
-    if (array ? !at->IsArray() : !at->IsObject()) bad_key(key, array ? "an array" : "an object");
+    if (!at) throw_missing_key(key);
+    if (array ? !at->IsArray() : !at->IsObject()) throw_bad_key(key, array ? "an array" : "an object");
     return *at;
 }
 
-inline const Value& part_or_empty(const Value& object, const char* key, bool array) {
+inline const Value& get_container_or_empty(const Value& object, const char* key, bool array) {
     static const Value kObject(rapidjson::kObjectType);
     static const Value kArray(rapidjson::kArrayType);
-    return find(object, key) ? part(object, key, array) : (array ? kArray : kObject);
+    return find(object, key) ? get_container(object, key, array) : (array ? kArray : kObject);
 }
 
-inline Duration micros(double seconds) {
-    if (!(std::abs(seconds) < 1e12)) bad("a time is out of range");
+inline Duration to_duration(double seconds) {
+    if (!(std::abs(seconds) < 1e12)) throw_bad_input("a time is out of range");
     return Duration(std::llround(seconds * 1e6));
 }
 
-inline Duration need_time(const Value& object, const char* key) {
-    return micros(need<double>(object, key));
+inline Duration get_required_duration(const Value& object, const char* key) {
+    return to_duration(get_required<double>(object, key));
 }
 
-inline Duration time_or(const Value& object, const char* key, double otherwise = 0.0) {
-    return micros(take(object, key, otherwise));
+inline Duration get_duration_or(const Value& object, const char* key, double otherwise = 0.0) {
+    return to_duration(get_or(object, key, otherwise));
 }
 
 }  // namespace nettlestall::json
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -206,10 +206,10 @@
 
 TrunkSettings read_trunk(const xmlNode* node, Complaints& complaints) {
     TrunkSettings t;
-    t.point = number_of<int>(node, "point");
-    t.number = number_of<int>(node, "number");
-    t.listen = text_of(node, "listen");
-    t.ledger = text_of(node, "ledger");
+    t.point_code = number_of<int>(node, "point");
+    t.exchange_number = number_of<int>(node, "number");
+    t.listen_address = text_of(node, "listen");
+    t.ledger_folder = text_of(node, "ledger");
     check_address(node, "listen", complaints);
     Relations relations(complaints);
     for_each_child(node, [&](const xmlNode* child, const std::string& name) {
@@ -225,7 +225,7 @@
             return;
         }
         check_address(child, "dial", complaints);
-        t.groups.push_back({read_group(child, t.point), text_of(child, "dial")});
+        t.groups.push_back({read_group(child, t.point_code), text_of(child, "dial")});
         relations.group(child, node, t.groups.back().settings);
     });
     return t;
@@ -233,7 +233,7 @@
 
 }  // namespace
 
-OperatorFile read_operator_text(const std::string& text, const std::string& name) {
+OperatorFile parse_operator_file(const std::string& text, const std::string& name) {
     Complaints complaints(name);
     const Held<xmlDoc> document = parse(text, name, complaints);
     validate(document.get(), complaints);
@@ -251,15 +251,16 @@
     std::stringstream text;
     text << file.rdbuf();
     if (!file) throw json::BadInput(path + ": can't be read");
-    return read_operator_text(text.str(), path);
+    return parse_operator_file(text.str(), path);
 }
 
-std::string needs_restart(const OperatorFile& before, const OperatorFile& after) {
+std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after) {
     if (before.trunk.has_value() != after.trunk.has_value())
         return "<trunk> can come or go only with a restart";
     if (!before.trunk) return {};
     const TrunkSettings &a = *before.trunk, &b = *after.trunk;
-    if (a.point != b.point || a.number != b.number || a.listen != b.listen || a.ledger != b.ledger)
+    if (a.point_code != b.point_code || a.exchange_number != b.exchange_number ||
+        a.listen_address != b.listen_address || a.ledger_folder != b.ledger_folder)
         return "<trunk>: 'point', 'number', 'listen' and 'ledger' must be the same until a restart";
     const auto same_lines = [](const ListedExchange& x, const ListedExchange& y) {
         return x.entry.exchange == y.entry.exchange && x.entry.number == y.entry.number &&
@@ -271,7 +272,7 @@
         return x.settings.id == y.settings.id && x.settings.exchange == y.settings.exchange &&
                x.settings.number == y.settings.number &&
                x.settings.rules.ends.far == y.settings.rules.ends.far &&
-               x.settings.rules.circuits == y.settings.rules.circuits && x.dial == y.dial;
+               x.settings.rules.circuits == y.settings.rules.circuits && x.dial_address == y.dial_address;
     };
     if (!std::equal(a.groups.begin(), a.groups.end(), b.groups.begin(), b.groups.end(), same_group))
         return "<group>: only <audit> and <times> can change without a restart";
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -17,14 +17,14 @@
 };
 
 struct TrunkSettings {
-    trunk::PointCode point = 1;
-    int number = kNowhere;
-    std::string listen;  // address:port; empty: nobody dials this hub
-    std::string ledger;  // a folder; empty: none
+    trunk::PointCode point_code = 1;
+    int exchange_number = kNowhere;
+    std::string listen_address;  // address:port; empty: nobody dials this hub
+    std::string ledger_folder;   // a folder; empty: none
     std::vector<ListedExchange> lines;
     struct Group {
         trunk::GroupSettings settings;
-        std::string dial;  // address:port; empty: the far hub dials
+        std::string dial_address;  // address:port; empty: the far hub dials
     };
     std::vector<Group> groups;
 };
@@ -36,9 +36,9 @@
 
 // Throws json::BadInput, whose text has a line for each complaint: file, line, element and what was expected.
 OperatorFile read_operator_file(const std::string& path);
-OperatorFile read_operator_text(const std::string& text, const std::string& name);
+OperatorFile parse_operator_file(const std::string& text, const std::string& name);
 
 // What a reload can't take over in service: groups, hubs and addresses; empty: nothing differs in these.
-std::string needs_restart(const OperatorFile& before, const OperatorFile& after);
+std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after);
 
 }  // namespace nettlestall::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -8,91 +8,92 @@
 
 Settings read_settings(const json::Value& facts) {
     Settings s;
-    const json::Value& kind = part_or_empty(facts, "family_info", false);
-    const json::Value& limits = part(facts, "limits", false);
-    const json::Value& rules = part(facts, "obligations", false);
-    const json::Value& prices = part_or_empty(facts, "prices", false);
-    const json::Value& report = part_or_empty(facts, "report", false);
+    const json::Value& kind = get_container_or_empty(facts, "family_info", false);
+    const json::Value& limits = get_container(facts, "limits", false);
+    const json::Value& rules = get_container(facts, "obligations", false);
+    const json::Value& prices = get_container_or_empty(facts, "prices", false);
+    const json::Value& report = get_container_or_empty(facts, "report", false);
 
-    s.own_exchange = take(kind, "this_node", kNowhere);
-    s.own_index = need<int>(facts, "self_index");
-    s.controls = need<int>(facts, "fleet_size");
-    s.own_zone = take<std::string>(facts, "zone", "");
-    s.pools = take<std::string>(kind, "layout", "mesh") == "pools";
-    s.over_share_worth = take(facts, "over_share_worth", 1.0);
-    s.step = time_or(facts, "step_s");
+    s.own_exchange = get_or(kind, "this_node", kNowhere);
+    s.own_index = get_required<int>(facts, "self_index");
+    s.controls = get_required<int>(facts, "fleet_size");
+    s.own_zone = get_or<std::string>(facts, "zone", "");
+    s.pools = get_or<std::string>(kind, "layout", "mesh") == "pools";
+    s.over_share_worth = get_or(facts, "over_share_worth", 1.0);
+    s.step = get_duration_or(facts, "step_s");
 
-    const json::Value& holds = part_or_empty(kind, "class_hold_s", true);
-    const json::Value& widths = part_or_empty(kind, "class_width", true);
-    const json::Value& skills = part_or_empty(kind, "skilled_pools", true);
-    for (const json::Value& grade : part(facts, "grades", true).GetArray()) {
-        if (!grade.IsObject()) bad("'grades' must hold objects");
+    const json::Value& holds = get_container_or_empty(kind, "class_hold_s", true);
+    const json::Value& widths = get_container_or_empty(kind, "class_width", true);
+    const json::Value& skills = get_container_or_empty(kind, "skilled_pools", true);
+    for (const json::Value& grade : get_container(facts, "grades", true).GetArray()) {
+        if (!grade.IsObject()) throw_bad_input("'grades' must hold objects");
         const auto i = static_cast<rapidjson::SizeType>(s.classes.size());
         ClassSettings c;
-        c.name = need<std::string>(grade, "name");
-        c.worth = take(grade, "points", 1.0);
-        c.late_worth = take(grade, "late_worth", 0.0);
-        c.aim = need_time(grade, "aim_s");
-        c.deadline = need_time(grade, "deadline_s");
-        c.aim_stretch = take(grade, "aim_stretch", 0.0);
-        if (i < widths.Size()) c.width = value<int>(widths[i], "class_width");
-        if (i < holds.Size()) c.holding_time = micros(value<double>(holds[i], "class_hold_s"));
-        const std::string repeat = take<std::string>(grade, "repeat", "retryable");
+        c.name = get_required<std::string>(grade, "name");
+        c.worth = get_or(grade, "points", 1.0);
+        c.late_worth = get_or(grade, "late_worth", 0.0);
+        c.aim = get_required_duration(grade, "aim_s");
+        c.deadline = get_required_duration(grade, "deadline_s");
+        c.aim_stretch = get_or(grade, "aim_stretch", 0.0);
+        if (i < widths.Size()) c.width = convert<int>(widths[i], "class_width");
+        if (i < holds.Size()) c.holding_time = to_duration(convert<double>(holds[i], "class_hold_s"));
+        const std::string repeat = get_or<std::string>(grade, "repeat", "retryable");
         c.repeat = repeat == "retryable" ? Repeat::safe
                    : repeat == "dedup"   ? Repeat::discarded_by_group
                                          : Repeat::never;
-        const std::string scope = take<std::string>(grade, "group", "all");
+        const std::string scope = get_or<std::string>(grade, "group", "all");
         c.repeat_scope = scope == "zone"   ? RepeatScope::zone
                          : scope == "cell" ? RepeatScope::exchange
                                            : RepeatScope::all;
-        c.repeat_window = time_or(grade, "window_s");
+        c.repeat_window = get_duration_or(grade, "window_s");
         if (i < skills.Size() && skills[i].IsArray())
             for (const json::Value& pool : skills[i].GetArray())
-                c.pools.push_back(value<int>(pool, "skilled_pools"));
+                c.pools.push_back(convert<int>(pool, "skilled_pools"));
         s.classes.push_back(std::move(c));
     }
-    if (s.classes.empty()) bad("'grades' is empty");
-    for (const json::Value& party : part_or_empty(facts, "parties", true).GetArray()) {
-        if (!party.IsObject()) bad("'parties' must hold objects");
-        s.tenants.push_back(
-            {need<std::string>(party, "name"), take(party, "quota_per_s", 0.0), take(party, "portion", 0.0)});
+    if (s.classes.empty()) throw_bad_input("'grades' is empty");
+    for (const json::Value& party : get_container_or_empty(facts, "parties", true).GetArray()) {
+        if (!party.IsObject()) throw_bad_input("'parties' must hold objects");
+        s.tenants.push_back({get_required<std::string>(party, "name"), get_or(party, "quota_per_s", 0.0),
+                             get_or(party, "portion", 0.0)});
     }
 
-    s.max_attempts = take(limits, "send_cap", 1);
-    s.max_open_calls = take(limits, "open_cap", 0);
-    s.may_cancel = take(limits, "cancel", false);
-    s.may_probe = take(limits, "probes", false);
-    s.may_message = take(limits, "peers", false);
-    s.may_advise_pause = take(limits, "retry_after", false);
-    s.may_duplicate = take(limits, "may_duplicate", false);
-    s.max_pause = time_or(limits, "max_retry_after_s");
+    s.max_attempts = get_or(limits, "send_cap", 1);
+    s.max_open_calls = get_or(limits, "open_cap", 0);
+    s.may_cancel = get_or(limits, "cancel", false);
+    s.may_probe = get_or(limits, "probes", false);
+    s.may_message = get_or(limits, "peers", false);
+    s.may_advise_pause = get_or(limits, "retry_after", false);
+    s.may_duplicate = get_or(limits, "may_duplicate", false);
+    s.max_pause = get_duration_or(limits, "max_retry_after_s");
 
-    s.list_on_request = take<std::string>(facts, "discovery", "pushed") == "on_request";
-    s.ask_list_within = time_or(rules, "must_ask_in_s");
-    s.callers_mark_redials = take(part_or_empty(facts, "client_habits", false), "marks_retry", false);
-    s.gives_advice = take(kind, "hints_route", false);
-    s.tells_wait = take(kind, "retry_hint", false);
-    s.set_up_repeat = time_or(kind, "resend_s");
-    const std::string source = take<std::string>(report, "source", "off");
+    s.list_on_request = get_or<std::string>(facts, "discovery", "pushed") == "on_request";
+    s.ask_list_within = get_duration_or(rules, "must_ask_in_s");
+    s.callers_mark_redials =
+        get_or(get_container_or_empty(facts, "client_habits", false), "marks_retry", false);
+    s.gives_advice = get_or(kind, "hints_route", false);
+    s.tells_wait = get_or(kind, "retry_hint", false);
+    s.set_up_repeat = get_duration_or(kind, "resend_s");
+    const std::string source = get_or<std::string>(report, "source", "off");
     s.reports_load = source == "inline";
     s.reports_on_probe = source != "off";
 
-    s.answer_grace = time_or(rules, "grace_to_answer_s");
-    s.drain_grace = time_or(rules, "drain_grace_s");
-    s.release_wait = time_or(kind, "release_s");
-    s.cold_from = take(rules, "cold_from", 1.0);
-    s.warm_within = time_or(rules, "ramp_time_s");
-    s.fall_multiple = take(rules, "fall_multiple", 0.0);
-    s.fall_span = time_or(rules, "fall_s");
-    s.prices = {take(prices, "late_fail", 0.0), take(prices, "waste", 0.0),
-                take(prices, "probe", 0.0),     take(prices, "peer", 0.0),
-                take(prices, "discovery", 0.0), take(prices, "cross_zone", 0.0)};
+    s.answer_grace = get_duration_or(rules, "grace_to_answer_s");
+    s.drain_grace = get_duration_or(rules, "drain_grace_s");
+    s.release_wait = get_duration_or(kind, "release_s");
+    s.cold_from = get_or(rules, "cold_from", 1.0);
+    s.warm_within = get_duration_or(rules, "ramp_time_s");
+    s.fall_multiple = get_or(rules, "fall_multiple", 0.0);
+    s.fall_span = get_duration_or(rules, "fall_s");
+    s.prices = {get_or(prices, "late_fail", 0.0), get_or(prices, "waste", 0.0),
+                get_or(prices, "probe", 0.0),     get_or(prices, "peer", 0.0),
+                get_or(prices, "discovery", 0.0), get_or(prices, "cross_zone", 0.0)};
     return s;
 }
 
 NetSettings read_net_settings(const json::Value& facts) {
-    const Duration told = time_or(part(facts, "limits", false), "dial_timeout_s", 0.5);
-    if (told <= Duration::zero()) bad_key("dial_timeout_s", "more than 0");
+    const Duration told = get_duration_or(get_container(facts, "limits", false), "dial_timeout_s", 0.5);
+    if (told <= Duration::zero()) throw_bad_key("dial_timeout_s", "more than 0");
     return {told};
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -39,13 +39,13 @@
 
 }  // namespace
 
-Level level_of(std::string_view name) {
+Level parse_level(std::string_view name) {
     for (std::size_t i = 0; i < std::size(kNames); ++i)
         if (kNames[i] == name) return static_cast<Level>(i);
     return Level::info;
 }
 
-std::string as_json(std::string_view time, Level level, std::string_view text, std::string_view call) {
+std::string format_json(std::string_view time, Level level, std::string_view text, std::string_view call) {
     rapidjson::StringBuffer line;
     rapidjson::Writer<rapidjson::StringBuffer> out(line);
     const auto field = [&out](const char* name, std::string_view value) {
@@ -63,24 +63,24 @@
 Log::Log()
     : logger_(std::make_unique<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>())) {
     logger_->set_pattern("%v");
-    use(false, Level::info);
+    configure(false, Level::info);
 }
 
 Log::~Log() = default;
 
-void Log::use(bool json, Level level) {
+void Log::configure(bool json, Level level) {
     json_ = json;
     logger_->set_level(kLevels[static_cast<std::size_t>(level)]);
 }
 
-bool Log::wants(Level level) const {
+bool Log::is_enabled(Level level) const {
     return logger_->should_log(kLevels[static_cast<std::size_t>(level)]);
 }
 
 void Log::write(Level level, std::string_view text, std::string_view call) {
-    if (!wants(level)) return;
+    if (!is_enabled(level)) return;
     const auto at = kLevels[static_cast<std::size_t>(level)];
-    if (json_) return logger_->log(at, as_json(now(), level, text, call));
+    if (json_) return logger_->log(at, format_json(now(), level, text, call));
     const std::string about = call.empty() ? std::string() : " call=" + printable(call);
     logger_->log(at, fmt::format("{} {} {}{}", now(), kNames[static_cast<std::size_t>(level)],
                                  printable(text), about));
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -13,15 +13,15 @@
 namespace nettlestall::log {
 
 enum class Level { debug, info, warning, error };
-Level level_of(std::string_view name);  // one that is not known counts as info
+Level parse_level(std::string_view name);  // one that is not known counts as info
 
 class Log {
    public:
     Log();
     ~Log();
 
-    void use(bool json, Level level);
-    bool wants(Level level) const;
+    void configure(bool json, Level level);
+    bool is_enabled(Level level) const;
 
     void write(Level level, std::string_view text, std::string_view call = {});
     void debug(std::string_view text, std::string_view call = {}) { write(Level::debug, text, call); }
@@ -35,6 +35,6 @@
 };
 
 // One line, without its end, as it is written with `json`: for tests too. `time` is UTC, as in RFC 3339.
-std::string as_json(std::string_view time, Level level, std::string_view text, std::string_view call);
+std::string format_json(std::string_view time, Level level, std::string_view text, std::string_view call);
 
 }  // namespace nettlestall::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 using namespace nettlestall;
-using cli::Exit;
+using cli::ExitCode;
 
 int run(const std::function<int()>& work) {
     try {
         return work();
     } catch (const std::exception& problem) {
         std::cerr << "nettlestall: " << problem.what() << '\n';
-        return Exit::kFailed;
+        return ExitCode::kFailure;
     }
 }
 
@@ -43,7 +43,7 @@
     list->add_flag("--all", words->all, "Of the group, every circuit");
     list->callback([words, target, list, &result] {
         const std::string of = list->count("--group") ? target(words->all ? "?all=1" : "") : "/circuits";
-        result = cli::call_operators(words->at, "GET", of);
+        result = cli::send_operators_request(words->at, "GET", of);
     });
     for (const auto& [name, about] :
          {std::pair{"block", "Takes circuits out of use, here and at the far end"},
@@ -60,13 +60,14 @@
         order->callback([words, target, what = std::string(name), &result] {
             std::string query = "/" + what + "?circuits=" + words->circuits;
             if (what == "block") query += "&kind=" + words->kind;
-            result = cli::call_operators(words->at, "POST", target(query));
+            result = cli::send_operators_request(words->at, "POST", target(query));
         });
     }
     CLI::App* audit = circuits->add_subcommand("audit", "Compares a group with its far end now");
     audit->add_option("--group", words->group)->required();
-    audit->callback(
-        [words, target, &result] { result = cli::call_operators(words->at, "POST", target("/audit")); });
+    audit->callback([words, target, &result] {
+        result = cli::send_operators_request(words->at, "POST", target("/audit"));
+    });
 }
 
 }  // namespace
@@ -79,7 +80,7 @@
         "gatekeeper "
         "refused the order; 4 no gatekeeper answered.");
     app.require_subcommand(0, 1);
-    int result = Exit::kDone;
+    int result = ExitCode::kSuccess;
 
     ServeOptions options;
     CLI::App* serve =
@@ -95,7 +96,7 @@
         result = run([&] {
             config::read_operator_file(file);
             std::cout << file << ": in order\n";
-            return static_cast<int>(Exit::kDone);
+            return static_cast<int>(ExitCode::kSuccess);
         });
     });
 
@@ -107,7 +108,7 @@
     try {
         app.parse(count, words);
     } catch (const CLI::ParseError& problem) {
-        return app.exit(problem) == 0 ? Exit::kDone : Exit::kUsage;
+        return app.exit(problem) == 0 ? ExitCode::kSuccess : ExitCode::kUsageError;
     }
     if (app.get_subcommands().empty()) result = run([&] { return nettlestall::serve(options); });
     return result;
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -51,11 +51,11 @@
 // The names of the addresses are looked up nowhere, so they must be numeric.
 config::Config load() {
     config::Config config = config::load();
-    if (!net::to_endpoint(config.listen)) json::bad_key("listen", "a numeric address:port");
-    if (!config.feed.empty() && !net::to_endpoint(config.feed))
-        json::bad_key("feed", "a numeric address:port");
-    if (!config.operators.empty() && !net::to_endpoint(config.operators))
-        json::bad_key("operator", "a numeric address:port");
+    if (!net::to_endpoint(config.listen_address)) json::throw_bad_key("listen", "a numeric address:port");
+    if (!config.feed_address.empty() && !net::to_endpoint(config.feed_address))
+        json::throw_bad_key("feed", "a numeric address:port");
+    if (!config.operators_address.empty() && !net::to_endpoint(config.operators_address))
+        json::throw_bad_key("operator", "a numeric address:port");
     return config;
 }
 
@@ -67,9 +67,9 @@
           file_path_(std::move(file_path)),
           file_(std::move(file)),
           name_(config.name),
-          listen_(config.listen),
-          time_to_end_(config.time_to_end()),
-          time_to_end_superseded_(config.time_to_end_superseded()),
+          listen_(config.listen_address),
+          time_to_end_(config.shutdown_time_limit()),
+          time_to_end_superseded_(config.shutdown_time_limit_superseded()),
           servers_(io, config.net.connect_time_out, counters_),
           routes_(servers_),
           gatekeeper_(
@@ -77,16 +77,16 @@
               bounds(config)),
           clients_(io, most_clients(config), gatekeeper_, counters_),
           feed_(
-              io, net::to_endpoint(config.feed), config.known,
+              io, net::to_endpoint(config.feed_address), config.last_event_number,
               [this](const ListEvent& event) { take(event); }, longest_line(config), counters_),
-          handover_(io, config.handover, *this, counters_),
+          handover_(io, config.handover_path, *this, counters_),
           most_clients_(most_clients(config)),
           alarm_(io),
           stop_tick_(io),
           signals_(io, SIGTERM, SIGINT, SIGUSR1) {
         signals_.add(SIGHUP);
-        if (!config.operators.empty())
-            operators_.emplace(io, *net::to_endpoint(config.operators), *this, counters_);
+        if (!config.operators_address.empty())
+            operators_.emplace(io, *net::to_endpoint(config.operators_address), *this, counters_);
         servers_.report_to(gatekeeper_);
         gatekeeper_.on_schedule([this](Instant at) { arm(at); });
         gatekeeper_.on_note([this](const std::string& text) {
@@ -100,7 +100,7 @@
                 routes_.add(of->settings().exchange, trunk_->front());
         }
         bool first = true;
-        for (ListEvent event : config.events) {
+        for (ListEvent event : config.known_events) {
             if (!event.has_list) continue;
             if (std::exchange(first, false)) event.kind = ListKind::remembered;
             take(event);
@@ -216,7 +216,7 @@
 
     // Half of the memory for the connections' queues and buffers, were all as full as they may be.
     static std::size_t most_clients(const config::Config& config) {
-        const auto sockets = static_cast<std::size_t>(config.sockets);
+        const auto sockets = static_cast<std::size_t>(config.max_sockets);
         return std::max<std::size_t>(1, std::min(sockets - std::min(kSpareSockets, sockets / 2),
                                                  memory(config) / 2 / net::kMostBuffered));
     }
@@ -274,29 +274,29 @@
             const config::Config fresh = load();
             std::optional<config::OperatorFile> file;
             if (!file_path_.empty()) file = config::read_operator_file(file_path_);
-            if (const std::string kept = file ? config::needs_restart(*file_, *file) : std::string();
+            if (const std::string kept = file ? config::find_restart_reason(*file_, *file) : std::string();
                 !kept.empty())
-                json::bad(file_path_ + ": " + kept);
-            if (fresh.listen != listen_) json::bad_key("listen", "the same until a restart");
+                json::throw_bad_input(file_path_ + ": " + kept);
+            if (fresh.listen_address != listen_) json::throw_bad_key("listen", "the same until a restart");
             if (!gatekeeper_.can_take(fresh.settings))
-                json::bad(
+                json::throw_bad_input(
                     "in 'settings': 'grades', 'layout' and 'this_node' must be the same until a restart");
             gatekeeper_.take(fresh.settings, bounds(fresh));
-            time_to_end_ = fresh.time_to_end();
-            time_to_end_superseded_ = fresh.time_to_end_superseded();
+            time_to_end_ = fresh.shutdown_time_limit();
+            time_to_end_superseded_ = fresh.shutdown_time_limit_superseded();
             servers_.use_connect_time_out(fresh.net.connect_time_out);
             most_clients_ = most_clients(fresh);
             predecessor_holds(held_elsewhere_);
             feed_.use_longest_line(longest_line(fresh));
-            feed_.catch_up(fresh.known, fresh.events);
-            feed_.move(net::to_endpoint(fresh.feed));
+            feed_.catch_up(fresh.last_event_number, fresh.known_events);
+            feed_.move(net::to_endpoint(fresh.feed_address));
             if (file) {
                 file_ = std::move(file);
-                log_.use(file_->log.json, log::level_of(file_->log.level));
+                log_.configure(file_->log.json, log::parse_level(file_->log.level));
                 if (trunk_) trunk_->take(*file_->trunk);
             }
             ++counters_.reloads;
-            log_.info("configuration taken over, feed " + fresh.feed);
+            log_.info("configuration taken over, feed " + fresh.feed_address);
         } catch (const std::exception& problem) {
             ++counters_.reloads_refused;
             log_.error(std::string("configuration refused, the old one stays: ") + problem.what());
@@ -358,7 +358,7 @@
     std::optional<config::OperatorFile> file;
     if (!options.operator_file.empty()) file = config::read_operator_file(options.operator_file);
     log::Log log;
-    if (file) log.use(file->log.json, log::level_of(file->log.level));
+    if (file) log.configure(file->log.json, log::parse_level(file->log.level));
     asio::io_context io(1);
     Program program(io, config, options.operator_file, std::move(file), log);
     io.run();
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -15,22 +15,22 @@
     if (state == "active") return ExchangeState::ready;
     if (state == "leaving") return ExchangeState::draining;
     if (state == "left") return ExchangeState::gone;
-    json::bad("unknown 'state' '" + state + "'");
+    json::throw_bad_input("unknown 'state' '" + state + "'");
 }
 
 ListedExchange read_entry(const json::Value& server) {
-    if (!server.IsObject()) json::bad("'servers' must hold objects");
+    if (!server.IsObject()) json::throw_bad_input("'servers' must hold objects");
     ListedExchange listed;
     ExchangeEntry& e = listed.entry;
-    e.exchange = json::need<std::string>(server, "id");
-    e.state = read_state(json::need<std::string>(server, "state"));
-    e.number = json::take(server, "cell", kNowhere);
-    e.zone = json::take<std::string>(server, "zone", "");
-    e.kind = json::take<std::string>(server, "kind", "");
-    e.size = json::take(server, "weight", 1.0);
-    e.started = std::chrono::milliseconds(json::take<std::int64_t>(server, "started_ms", 0));
-    listed.address = json::take<std::string>(server, "addr", "");
-    if (listed.address.empty() && e.state != ExchangeState::gone) json::missing("addr");
+    e.exchange = json::get_required<std::string>(server, "id");
+    e.state = read_state(json::get_required<std::string>(server, "state"));
+    e.number = json::get_or(server, "cell", kNowhere);
+    e.zone = json::get_or<std::string>(server, "zone", "");
+    e.kind = json::get_or<std::string>(server, "kind", "");
+    e.size = json::get_or(server, "weight", 1.0);
+    e.started = std::chrono::milliseconds(json::get_or<std::int64_t>(server, "started_ms", 0));
+    listed.address = json::get_or<std::string>(server, "addr", "");
+    if (listed.address.empty() && e.state != ExchangeState::gone) json::throw_missing_key("addr");
     return listed;
 }
 
@@ -39,18 +39,18 @@
 ListEvent read_list_event(const json::Value& event) {
     ListEvent read;
     if (event.IsNumber()) {  // a bare number
-        read.number = json::value<std::int64_t>(event, "n");
+        read.number = json::convert<std::int64_t>(event, "n");
         return read;
     }
-    if (!event.IsObject()) json::bad("an event must be an object");
-    read.number = json::need<std::int64_t>(event, "n");
+    if (!event.IsObject()) json::throw_bad_input("an event must be an object");
+    read.number = json::get_required<std::int64_t>(event, "n");
     const json::Value* members = json::find(event, "members");
     if (!members) return read;
-    if (!members->IsObject()) json::bad_key("members", "an object");
+    if (!members->IsObject()) json::throw_bad_key("members", "an object");
     read.has_list = true;
-    read.version = json::take<std::int64_t>(*members, "version", 0);
-    read.kind = json::take(*members, "full", false) ? ListKind::complete : ListKind::changes;
-    for (const json::Value& server : json::part(*members, "servers", true).GetArray())
+    read.version = json::get_or<std::int64_t>(*members, "version", 0);
+    read.kind = json::get_or(*members, "full", false) ? ListKind::complete : ListKind::changes;
+    for (const json::Value& server : json::get_container(*members, "servers", true).GetArray())
         read.entries.push_back(read_entry(server));
     return read;
 }
@@ -58,7 +58,7 @@
 ListEvent read_list_event(std::string_view line) {
     rapidjson::Document document;
     document.Parse<rapidjson::kParseIterativeFlag>(line.data(), line.size());
-    if (document.HasParseError()) json::bad("not JSON");
+    if (document.HasParseError()) json::throw_bad_input("not JSON");
     return read_list_event(document);
 }
 
--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -11,7 +11,7 @@
       gatekeeper_(gatekeeper),
       time_(std::move(time)),
       log_(log),
-      front_(settings_.number, time_, gatekeeper_, gatekeeper_, gatekeeper_),
+      front_(settings_.exchange_number, time_, gatekeeper_, gatekeeper_, gatekeeper_),
       desk_(front_, time_) {
     for (const ListedExchange& lines : settings_.lines) front_.add_lines(lines);
     for (const config::TrunkSettings::Group& group : settings_.groups) front_.add(group.settings);
@@ -22,7 +22,7 @@
                      freed.call);
     });
     front_.on_glare_lost([this](const trunk::Front::Trunk& of, const CallId& call) {
-        if (log_.wants(log::Level::debug))
+        if (log_.is_enabled(log::Level::debug))
             log_.debug("group " + std::to_string(of.settings().id) + ": lost a dual seizure", call);
     });
 }
@@ -31,8 +31,8 @@
     const auto note = [this](const std::string& text) { log_.warning(text); };
     const auto now = std::chrono::duration_cast<std::chrono::seconds>(time_()).count();
     auto life = static_cast<std::uint32_t>(now & 0x7fffffff);
-    if (!settings_.ledger.empty()) {
-        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger, settings_.point, note);
+    if (!settings_.ledger_folder.empty()) {
+        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger_folder, settings_.point_code, note);
         life = ledger_->next_life(life);
     }
     front_.begin(life, ledger_.get());
@@ -47,10 +47,11 @@
             log_.info("ledger: " + std::to_string(back) + " calls stood; those that the far ends know go on");
     }
     std::optional<net::tcp::endpoint> listen;
-    if (!settings_.listen.empty()) listen = net::to_endpoint(settings_.listen);
+    if (!settings_.listen_address.empty()) listen = net::to_endpoint(settings_.listen_address);
     links_.emplace(io_, front_, listen, time_, note);
     for (const config::TrunkSettings::Group& group : settings_.groups)
-        if (!group.dial.empty()) links_->dial(*front_.find(group.settings.id), *net::to_endpoint(group.dial));
+        if (!group.dial_address.empty())
+            links_->dial(*front_.find(group.settings.id), *net::to_endpoint(group.dial_address));
     links_->start();
 }
 
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -22,34 +22,34 @@
 int place(const std::vector<std::string>& names, const std::string& name, const char* what) {
     for (std::size_t i = 0; i < names.size(); ++i)
         if (names[i] == name) return static_cast<int>(i);
-    bad(std::string("unknown ") + what + " '" + name + "'");
+    throw_bad_input(std::string("unknown ") + what + " '" + name + "'");
 }
 
 LoadReport read_load(const Json& event) {
     LoadReport load;
-    const Json& usage = part_or_empty(event, "usage", false);
+    const Json& usage = get_container_or_empty(event, "usage", false);
     const auto circuits = [&](const char* key) {
-        return static_cast<int>(std::lround(std::clamp(take(usage, key, -1.0), -1.0, 1e9)));
+        return static_cast<int>(std::lround(std::clamp(get_or(usage, key, -1.0), -1.0, 1e9)));
     };
     load.free_circuits = circuits("free");
     load.group_size = circuits("size");
-    load.busy_messages = take(usage, "busy_reqs", -1.0);
-    load.waiting_messages = take(usage, "pending", -1.0);
-    load.utilisation = take(usage, "cpu_share", -1.0);
-    load.wait_ms = take(usage, "svc_ms", -1.0);
-    load.can_take_per_second = take(usage, "can_take", -1.0);
-    load.hold_back_share = take(usage, "hold_back", -1.0);
+    load.busy_messages = get_or(usage, "busy_reqs", -1.0);
+    load.waiting_messages = get_or(usage, "pending", -1.0);
+    load.utilisation = get_or(usage, "cpu_share", -1.0);
+    load.wait_ms = get_or(usage, "svc_ms", -1.0);
+    load.can_take_per_second = get_or(usage, "can_take", -1.0);
+    load.hold_back_share = get_or(usage, "hold_back", -1.0);
     return load;
 }
 
 std::vector<ExchangeEntry> read_entries(const Json& census) {
     std::vector<ExchangeEntry> entries;
-    for (const Json& member : part(census, "members_list", true).GetArray()) {
-        if (!member.IsObject()) bad("'members_list' must hold objects");
+    for (const Json& member : get_container(census, "members_list", true).GetArray()) {
+        if (!member.IsObject()) throw_bad_input("'members_list' must hold objects");
         ExchangeEntry e;
-        e.exchange = need<std::string>(member, "exchange");
-        e.number = take(member, "node_no", 0);
-        const std::string health = need<std::string>(member, "health");
+        e.exchange = get_required<std::string>(member, "exchange");
+        e.number = get_or(member, "node_no", 0);
+        const std::string health = get_required<std::string>(member, "health");
         if (health == "Ready") {
             e.state = ExchangeState::ready;
         } else if (health == "Terminating") {
@@ -57,12 +57,12 @@
         } else if (health == "Gone") {
             e.state = ExchangeState::gone;
         } else {
-            bad("unknown 'health' '" + health + "'");
+            throw_bad_input("unknown 'health' '" + health + "'");
         }
-        e.started = time_or(member, "boot_time_s");
-        e.zone = take<std::string>(member, "campus", "");
-        e.kind = take<std::string>(member, "generation_hw", "");
-        e.size = take(member, "size", 1.0);
+        e.started = get_duration_or(member, "boot_time_s");
+        e.zone = get_or<std::string>(member, "campus", "");
+        e.kind = get_or<std::string>(member, "generation_hw", "");
+        e.size = get_or(member, "size", 1.0);
         entries.push_back(std::move(e));
     }
     return entries;
@@ -73,9 +73,9 @@
         if (c >= '0' && c <= '9') return c - '0';
         if (c >= 'a' && c <= 'f') return c - 'a' + 10;
         if (c >= 'A' && c <= 'F') return c - 'A' + 10;
-        bad("'blob' must be hex digits");
+        throw_bad_input("'blob' must be hex digits");
     };
-    if (text.size() % 2) bad("'blob' must be whole bytes");
+    if (text.size() % 2) throw_bad_input("'blob' must be whole bytes");
     std::vector<std::uint8_t> bytes;
     for (std::size_t i = 0; i < text.size(); i += 2)
         bytes.push_back(static_cast<std::uint8_t>(digit(text[i]) * 16 + digit(text[i + 1])));
@@ -98,7 +98,7 @@
     if (code == "R") return Outcome::reset;
     if (code == "X") return Outcome::cancelled;
     if (code == "N") return Outcome::not_sent;
-    bad("unknown 'disposition' '" + code + "'");
+    throw_bad_input("unknown 'disposition' '" + code + "'");
 }
 
 using Out = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -177,35 +177,35 @@
     Event read(const std::string& cmd, const Json& event) const {
         if (cmd == "demand") {
             CallOffered e;
-            e.call = need<std::string>(event, "xid");
-            e.destination = need<int>(event, "dest");
-            e.width = need<int>(event, "channels");
-            if (e.width < 1) bad("'channels' must be 1 or more");
-            e.service_class = place(classes, need<std::string>(event, "category"), "'category'");
+            e.call = get_required<std::string>(event, "xid");
+            e.destination = get_required<int>(event, "dest");
+            e.width = get_required<int>(event, "channels");
+            if (e.width < 1) throw_bad_input("'channels' must be 1 or more");
+            e.service_class = place(classes, get_required<std::string>(event, "category"), "'category'");
             if (const Json* group = find(event, "client_group"); group && group->IsString())
-                e.tenant = place(tenants, value<std::string>(*group, "client_group"), "'client_group'");
-            e.transit = take(event, "transit", false);
-            (e.transit ? e.previous : e.advised) = take(event, "hop", kNowhere);
-            e.patience = need_time(event, "grace_s");
-            e.expected_work = time_or(event, "work_hint_s");
-            e.was_cut = take(event, "reconnect", false);
-            e.redial = take(event, "retry", false);
-            e.number = take<std::string>(event, "name_key", "");
+                e.tenant = place(tenants, convert<std::string>(*group, "client_group"), "'client_group'");
+            e.transit = get_or(event, "transit", false);
+            (e.transit ? e.previous : e.advised) = get_or(event, "hop", kNowhere);
+            e.patience = get_required_duration(event, "grace_s");
+            e.expected_work = get_duration_or(event, "work_hint_s");
+            e.was_cut = get_or(event, "reconnect", false);
+            e.redial = get_or(event, "retry", false);
+            e.number = get_or<std::string>(event, "name_key", "");
             return e;
         }
         if (cmd == "flowing")
-            return CallStands{need<std::string>(event, "xid"), need<int>(event, "n"),
-                              need<std::string>(event, "exchange"), time_or(event, "lag_s")};
+            return CallStands{get_required<std::string>(event, "xid"), get_required<int>(event, "n"),
+                              get_required<std::string>(event, "exchange"), get_duration_or(event, "lag_s")};
         if (cmd == "completed") {
             AttemptEnded e;
-            e.call = need<std::string>(event, "xid");
-            e.attempt = need<int>(event, "n");
-            e.exchange = need<std::string>(event, "exchange");
-            e.outcome = read_outcome(need<std::string>(event, "disposition"));
-            e.final = take(event, "last", false);
-            e.lag = time_or(event, "lag_s");
+            e.call = get_required<std::string>(event, "xid");
+            e.attempt = get_required<int>(event, "n");
+            e.exchange = get_required<std::string>(event, "exchange");
+            e.outcome = read_outcome(get_required<std::string>(event, "disposition"));
+            e.final = get_or(event, "last", false);
+            e.lag = get_duration_or(event, "lag_s");
             e.load = read_load(event);
-            const int reason = take(event, "reason", 0);
+            const int reason = get_or(event, "reason", 0);
             if (reason == 18) {
                 e.cause = Cause::by_tandem_far_processor;
             } else if (reason % 16 == 3) {  // the told wait, in milliseconds, stands above the code
@@ -220,20 +220,21 @@
             }
             return e;
         }
-        if (cmd == "expired") return CallAbandoned{need<std::string>(event, "xid")};
+        if (cmd == "expired") return CallAbandoned{get_required<std::string>(event, "xid")};
         if (cmd == "health") {
             ExchangeReport e;
-            e.exchange = need<std::string>(event, "exchange");
-            e.answered = read_outcome(need<std::string>(event, "disposition")) == Outcome::ended;
-            e.lag = time_or(event, "lag_s");
+            e.exchange = get_required<std::string>(event, "exchange");
+            e.answered = read_outcome(get_required<std::string>(event, "disposition")) == Outcome::ended;
+            e.lag = get_duration_or(event, "lag_s");
             e.probe = !e.answered || e.lag > Duration::zero();
             e.load = read_load(event);
             return e;
         }
         if (cmd == "neighbour_says")
-            return PeerMessage{need<int>(event, "neighbour"), read_hex(need<std::string>(event, "blob"))};
-        if (cmd == "wakeup") return TimerDue{need<std::int64_t>(event, "ref")};
-        bad("unknown command '" + cmd + "'");
+            return PeerMessage{get_required<int>(event, "neighbour"),
+                               read_hex(get_required<std::string>(event, "blob"))};
+        if (cmd == "wakeup") return TimerDue{get_required<std::int64_t>(event, "ref")};
+        throw_bad_input("unknown command '" + cmd + "'");
     }
 
     CallControl control;
@@ -245,53 +246,53 @@
     rapidjson::Document batch;
     batch.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(line.data(),
                                                                                      line.size());
-    if (batch.HasParseError()) bad("not JSON");
-    if (!batch.IsObject()) bad("a batch must be an object");
-    const Instant now = need_time(batch, "ts_s");
+    if (batch.HasParseError()) throw_bad_input("not JSON");
+    if (!batch.IsObject()) throw_bad_input("a batch must be an object");
+    const Instant now = get_required_duration(batch, "ts_s");
     rapidjson::StringBuffer text;
     Out out(text);
     out.StartObject();
     out.Key("n");
-    out.Int64(need<std::int64_t>(batch, "n"));
+    out.Int64(get_required<std::int64_t>(batch, "n"));
     out.Key("groups");
     out.StartArray();
-    for (const Json& group : part(batch, "groups", true).GetArray()) {
-        if (!group.IsObject()) bad("'groups' must hold objects");
-        const int router = need<int>(group, "router");
+    for (const Json& group : get_container(batch, "groups", true).GetArray()) {
+        if (!group.IsObject()) throw_bad_input("'groups' must hold objects");
+        const int router = get_required<int>(group, "router");
         std::vector<Action> actions;
         std::size_t number = 0;
-        for (const Json& event : part(group, "input", true).GetArray()) {
+        for (const Json& event : get_container(group, "input", true).GetArray()) {
             std::string cmd = "?";
             try {
-                if (!event.IsObject()) bad("an event must be an object");
-                cmd = need<std::string>(event, "cmd");
+                if (!event.IsObject()) throw_bad_input("an event must be an object");
+                cmd = get_required<std::string>(event, "cmd");
                 if (cmd == "census") {
-                    const int buffer = need<int>(event, "buffer");
-                    if (buffer < 0 || buffer > 15) bad("'buffer' must be 0 to 15");
+                    const int buffer = get_required<int>(event, "buffer");
+                    if (buffer < 0 || buffer > 15) throw_bad_input("'buffer' must be 0 to 15");
                     lists_[buffer] = read_entries(event);
                 } else if (cmd == "born") {
-                    instances_[router] =
-                        std::make_shared<Instance>(config::read_settings(part(event, "facts", false)),
-                                                   need<std::uint64_t>(event, "entropy"));
+                    instances_[router] = std::make_shared<Instance>(
+                        config::read_settings(get_container(event, "facts", false)),
+                        get_required<std::uint64_t>(event, "entropy"));
                 } else {
                     const auto at = instances_.find(router);
-                    if (at == instances_.end()) bad("no such instance was born");
+                    if (at == instances_.end()) throw_bad_input("no such instance was born");
                     if (cmd == "retire") {
                         instances_.erase(at);
                         actions.clear();
                     } else if (cmd == "sync") {
                         ExchangeList list;
-                        list.version = take<std::int64_t>(event, "generation", 0);
-                        const std::string kind = need<std::string>(event, "kind");
+                        list.version = get_or<std::int64_t>(event, "generation", 0);
+                        const std::string kind = get_required<std::string>(event, "kind");
                         list.kind = kind == "delta"    ? ListKind::changes
                                     : kind == "full"   ? ListKind::complete
                                     : kind == "cached" ? ListKind::remembered
-                                    : kind == "failed"
-                                        ? ListKind::failed
-                                        : (bad("unknown 'kind' '" + kind + "'"), ListKind::failed);
+                                    : kind == "failed" ? ListKind::failed
+                                                       : (throw_bad_input("unknown 'kind' '" + kind + "'"),
+                                                          ListKind::failed);
                         if (list.kind != ListKind::failed) {
-                            const auto entries = lists_.find(need<int>(event, "buffer"));
-                            if (entries == lists_.end()) bad("unknown census number in 'buffer'");
+                            const auto entries = lists_.find(get_required<int>(event, "buffer"));
+                            if (entries == lists_.end()) throw_bad_input("unknown census number in 'buffer'");
                             list.entries = entries->second;
                         }
                         at->second->control.handle(now, list, actions);
@@ -300,8 +301,8 @@
                     }
                 }
             } catch (const BadInput& problem) {
-                bad("router " + std::to_string(router) + ", event " + std::to_string(number) + " (" + cmd +
-                    "): " + problem.what());
+                throw_bad_input("router " + std::to_string(router) + ", event " + std::to_string(number) +
+                                " (" + cmd + "): " + problem.what());
             }
             ++number;
         }
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -15,7 +15,7 @@
 
 std::string complaint(const std::string& text) {
     try {
-        read_operator_text(text, "f.xml");
+        parse_operator_file(text, "f.xml");
     } catch (const json::BadInput& problem) {
         return problem.what();
     }
@@ -29,23 +29,24 @@
     R"(<group id="7" exchange="hub-2" number="2" far-point="20" circuits="30" dial="127.0.0.1:7002">)";
 
 void nothing_is_on_by_default() {
-    const OperatorFile file = read_operator_text("<nettlestall/>", "f.xml");
+    const OperatorFile file = parse_operator_file("<nettlestall/>", "f.xml");
     CHECK(!file.trunk && !file.log.json && file.log.level == "info");
 }
 
 void what_is_right_is_taken() {
-    const OperatorFile file =
-        read_operator_text(R"(<nettlestall><trunk point="10" number="1" listen="[::1]:7001" ledger="/var/l">)"
-                           R"(<lines exchange="l" number="1" address="127.0.0.1:7100"/>)" +
-                               kGroup +
-                               R"(<times hold-s="12.5"/><audit on="false" every-s="9"/></group></trunk>)"
-                               R"(<log format="json" level="debug"/></nettlestall>)",
-                           "f.xml");
-    CHECK(file.log.json && file.log.level == "debug" && file.trunk->listen == "[::1]:7001");
-    CHECK(file.trunk->ledger == "/var/l" && file.trunk->lines.size() == 1 &&
+    const OperatorFile file = parse_operator_file(
+        R"(<nettlestall><trunk point="10" number="1" listen="[::1]:7001" ledger="/var/l">)"
+        R"(<lines exchange="l" number="1" address="127.0.0.1:7100"/>)" +
+            kGroup +
+            R"(<times hold-s="12.5"/><audit on="false" every-s="9"/></group></trunk>)"
+            R"(<log format="json" level="debug"/></nettlestall>)",
+        "f.xml");
+    CHECK(file.log.json && file.log.level == "debug" && file.trunk->listen_address == "[::1]:7001");
+    CHECK(file.trunk->ledger_folder == "/var/l" && file.trunk->lines.size() == 1 &&
           file.trunk->lines[0].entry.lines_only);
     const auto& g = file.trunk->groups.at(0);
-    CHECK(g.dial == "127.0.0.1:7002" && g.settings.rules.ends.own == 10 && g.settings.rules.ends.far == 20);
+    CHECK(g.dial_address == "127.0.0.1:7002" && g.settings.rules.ends.own == 10 &&
+          g.settings.rules.ends.far == 20);
     CHECK(g.settings.rules.hold == 12500ms && g.settings.rules.release_guard == 4s &&
           !g.settings.rules.audit.on);
     CHECK(g.settings.rules.audit.every == 9s && g.settings.rules.audit.confirmations == 2);
@@ -95,22 +96,23 @@
 }
 
 void only_times_change_in_service() {
-    const auto read = [](const std::string& text) { return read_operator_text(text, "f.xml"); };
+    const auto read = [](const std::string& text) { return parse_operator_file(text, "f.xml"); };
     const OperatorFile before = read(trunk(kGroup + "</group>"));
-    CHECK(needs_restart(before, read(trunk(kGroup + "<times hold-s=\"9\"/></group>"))).empty());
-    CHECK(!needs_restart(before, read(trunk(kGroup + "</group>", "point=\"9\" number=\"1\""))).empty());
-    CHECK(!needs_restart(before, read("<nettlestall/>")).empty());
-    CHECK(needs_restart(read("<nettlestall/>"), read("<nettlestall><log format=\"json\"/></nettlestall>"))
-              .empty());
+    CHECK(find_restart_reason(before, read(trunk(kGroup + "<times hold-s=\"9\"/></group>"))).empty());
+    CHECK(!find_restart_reason(before, read(trunk(kGroup + "</group>", "point=\"9\" number=\"1\""))).empty());
+    CHECK(!find_restart_reason(before, read("<nettlestall/>")).empty());
+    CHECK(
+        find_restart_reason(read("<nettlestall/>"), read("<nettlestall><log format=\"json\"/></nettlestall>"))
+            .empty());
 }
 
 void log_lines_are_json_whatever_they_hold() {
     using namespace log;
-    CHECK(as_json("T", Level::info, "text", "c1") ==
+    CHECK(format_json("T", Level::info, "text", "c1") ==
           R"({"time":"T","level":"info","call":"c1","text":"text"})");
-    CHECK(as_json("T", Level::error, "a\"b\n\xff", "") ==
+    CHECK(format_json("T", Level::error, "a\"b\n\xff", "") ==
           R"({"time":"T","level":"error","text":"a\"b\\x0a\\xff"})");
-    CHECK(level_of("warning") == Level::warning && level_of("none") == Level::info);
+    CHECK(parse_level("warning") == Level::warning && parse_level("none") == Level::info);
 }
 
 }  // namespace
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -20,7 +20,7 @@
 
 std::string complaint(const std::string& text) {
     try {
-        config::read_config(text);
+        config::parse_config(text);
     } catch (const json::BadInput& problem) {
         return problem.what();
     }
@@ -32,21 +32,23 @@
 }
 
 void all_is_read() {
-    const config::Config c = config::read_config(file(
+    const config::Config c = config::parse_config(file(
         R"("name":"n3","listen":"127.0.0.1:3868","feed":"127.0.0.2:4222","seed":"8c1f30d27a5be964",)"
         R"("limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"n":4,"events":[{"n":3,"members":)"
         R"({"version":1,"full":true,"servers":[)"
         R"({"id":"s","addr":"127.0.0.3:1","cell":1,"state":"active"}]}}]},)"));
-    CHECK(c.name == "n3" && c.listen == "127.0.0.1:3868" && c.feed == "127.0.0.2:4222");
-    CHECK(c.seed == 0x8c1f30d27a5be964u && c.memory_mb == 64 && c.sockets == 256);
-    CHECK(c.known == 4 && c.events.size() == 1 && c.events[0].entries[0].entry.number == 1);
+    CHECK(c.name == "n3" && c.listen_address == "127.0.0.1:3868" && c.feed_address == "127.0.0.2:4222");
+    CHECK(c.seed == 0x8c1f30d27a5be964u && c.memory_mb == 64 && c.max_sockets == 256);
+    CHECK(c.last_event_number == 4 && c.known_events.size() == 1 &&
+          c.known_events[0].entries[0].entry.number == 1);
     CHECK(c.settings.max_attempts == 5 && c.settings.classes.at(0).aim == std::chrono::seconds(2));
     CHECK(c.net.connect_time_out == std::chrono::milliseconds(500));
 }
 
 void what_is_missing_has_its_default() {
-    const config::Config c = config::read_config(file(""));
-    CHECK(c.memory_mb == 192 && c.sockets == 1024 && c.feed.empty() && c.known == 0 && c.events.empty());
+    const config::Config c = config::parse_config(file(""));
+    CHECK(c.memory_mb == 192 && c.max_sockets == 1024 && c.feed_address.empty() && c.last_event_number == 0 &&
+          c.known_events.empty());
 }
 
 void a_complaint_names_the_key() {
@@ -87,9 +89,9 @@
     config::Config c;
     c.settings.classes.resize(2);
     c.settings.classes[1].deadline = milliseconds(1200);
-    CHECK(c.time_to_end() < milliseconds(1900) && c.time_to_end() > milliseconds(1500));
+    CHECK(c.shutdown_time_limit() < milliseconds(1900) && c.shutdown_time_limit() > milliseconds(1500));
     c.settings.classes[0].deadline = milliseconds(9000);
-    CHECK(c.time_to_end() < milliseconds(3700) && c.time_to_end() > milliseconds(3300));
+    CHECK(c.shutdown_time_limit() < milliseconds(3700) && c.shutdown_time_limit() > milliseconds(3300));
 }
 
 }  // namespace
