--- a/src/net/clients.cpp
+++ b/src/net/callers.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.hpp"
+#include "net/callers.hpp"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-class Clients::Client final : public protocol::CallerSession::Out {
+class CallerConnections::Client final : public protocol::CallerSession::Out {
    public:
     Client(tcp::socket socket, CallerEvents& events, Counters& counters)
         : connection_(std::make_shared<Connection>(std::move(socket), counters)),
@@ -70,10 +70,11 @@
     Clock::time_point opened_ = Clock::now();
 };
 
-Clients::Clients(asio::io_context& io, std::size_t most, CallerEvents& events, Counters& counters)
+CallerConnections::CallerConnections(asio::io_context& io, std::size_t most, CallerEvents& events,
+                                     Counters& counters)
     : acceptor_(io), sweep_(io), away_tick_(io), most_(most), events_(events), counters_(counters) {}
 
-void Clients::listen(const tcp::endpoint& at) {
+void CallerConnections::listen(const tcp::endpoint& at) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     // For an upgrade where the listening socket cannot be passed on.
@@ -82,39 +83,39 @@
     acceptor_.listen(1024);
 }
 
-void Clients::listen_on(int descriptor) {
+void CallerConnections::listen_on(int descriptor) {
     acceptor_.assign(family_of(descriptor), descriptor);
 }
 
-Clients::~Clients() = default;
+CallerConnections::~CallerConnections() = default;
 
-void Clients::start() {
+void CallerConnections::start() {
     resume();
     spawn(sweep_.get_executor(), sweep());
     spawn(sweep_.get_executor(), send_away());
 }
 
-void Clients::stop() {
+void CallerConnections::stop() {
     stopped_ = true;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
 }
 
-void Clients::pause() {
+void CallerConnections::pause() {
     accepting_ = false;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
 }
 
-void Clients::resume() {
+void CallerConnections::resume() {
     if (!std::exchange(accepting_, true)) spawn(acceptor_.get_executor(), accept());
 }
 
-bool Clients::idle() const {
+bool CallerConnections::idle() const {
     return std::all_of(open_.begin(), open_.end(), [](const auto& client) { return client->idle(); });
 }
 
-asio::awaitable<void> Clients::accept() {
+asio::awaitable<void> CallerConnections::accept() {
     asio::steady_timer pause(acceptor_.get_executor());
     while (acceptor_.is_open() && accepting_) {
         auto [error, socket] = co_await acceptor_.async_accept(asio::as_tuple(asio::use_awaitable));
@@ -133,7 +134,7 @@
     }
 }
 
-void Clients::adopt(int descriptor, bool has_asked, std::string_view begun) {
+void CallerConnections::adopt(int descriptor, bool has_asked, std::string_view begun) {
     tcp::socket socket(acceptor_.get_executor());
     boost::system::error_code error;
     socket.assign(family_of(descriptor), descriptor, error);
@@ -143,7 +144,7 @@
     take_in(std::move(socket), has_asked, begun);
 }
 
-void Clients::take_in(tcp::socket socket, bool has_asked, std::string_view begun) {
+void CallerConnections::take_in(tcp::socket socket, bool has_asked, std::string_view begun) {
     const auto client = std::make_shared<Client>(std::move(socket), events_, counters_);
     open_.push_back(client);
     events_.caller_up(client->session());
@@ -155,7 +156,7 @@
 // each: a further caller takes the place of a connection without a set-up. One where calls stand goes last,
 // as their releases are to find it, and before it one that is still about to ask. Of the others whoever holds
 // the most loses one first, then one that never asked, the one longest silent.
-bool Clients::make_room() {
+bool CallerConnections::make_room() {
     std::map<std::string_view, int> held;
     for (const auto& client : open_) ++held[client->session().origin()];
     const auto now = Clock::now();
@@ -174,13 +175,13 @@
 }
 
 // At once, not when its coroutine ends: nothing more is to be sent there, and its place is free.
-void Clients::drop(std::shared_ptr<Client> client) {
+void CallerConnections::drop(std::shared_ptr<Client> client) {
     if (std::erase(open_, client) == 0) return;
     events_.caller_gone(client->session());
     client->connection().close();
 }
 
-asio::awaitable<void> Clients::sweep() {
+asio::awaitable<void> CallerConnections::sweep() {
     while (!stopped_) {
         sweep_.expires_after(kSweep);
         co_await sweep_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -193,7 +194,7 @@
     }
 }
 
-asio::awaitable<void> Clients::send_away() {
+asio::awaitable<void> CallerConnections::send_away() {
     while (!stopped_) {
         away_tick_.expires_after(kAwayTick);
         co_await away_tick_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -212,7 +213,7 @@
     }
 }
 
-asio::awaitable<void> Clients::serve(std::shared_ptr<Client> client) {
+asio::awaitable<void> CallerConnections::serve(std::shared_ptr<Client> client) {
     Connection& connection = client->connection();
     protocol::CallerSession& session = client->session();
     while (co_await connection.read_into(session, [&client] { client->hears(Clock::now()); })) {
--- a/src/net/clients.hpp
+++ b/src/net/callers.hpp
@@ -10,10 +10,10 @@
 
 namespace nettlestall::net {
 
-class Clients {
+class CallerConnections {
    public:
-    Clients(asio::io_context& io, std::size_t most, CallerEvents& events, Counters& counters);
-    ~Clients();
+    CallerConnections(asio::io_context& io, std::size_t most, CallerEvents& events, Counters& counters);
+    ~CallerConnections();
 
     void listen(const tcp::endpoint& at);  // throws boost::system::system_error if it cannot
     void listen_on(int descriptor);        // of a listening socket that another process has passed on
--- a/src/net/figures.cpp
+++ b/src/net/metrics.cpp
@@ -1,4 +1,4 @@
-#include "net/figures.hpp"
+#include "net/metrics.hpp"
 
 #include <string_view>
 
--- a/src/net/servers.cpp
+++ b/src/net/switches.cpp
@@ -1,4 +1,4 @@
-#include "net/servers.hpp"
+#include "net/switches.hpp"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
@@ -20,7 +20,7 @@
 }  // namespace
 
 // One carrier switch. It outlives its place in the list while its coroutine runs, and is silent then.
-class Servers::Peer final : public std::enable_shared_from_this<Peer>, public SwitchEvents {
+class SwitchConnections::Peer final : public std::enable_shared_from_this<Peer>, public SwitchEvents {
    public:
     Peer(asio::io_context& io, ExchangeId id, std::string address, Duration connect_time_out,
          SwitchEvents& events, Counters& counters)
@@ -221,12 +221,12 @@
     bool stopped_ = false;
 };
 
-Servers::Servers(asio::io_context& io, Duration connect_time_out, Counters& counters)
+SwitchConnections::SwitchConnections(asio::io_context& io, Duration connect_time_out, Counters& counters)
     : io_(io), connect_time_out_(connect_time_out), counters_(counters) {}
 
-Servers::~Servers() = default;
+SwitchConnections::~SwitchConnections() = default;
 
-void Servers::list(const ListEvent& event) {
+void SwitchConnections::list(const ListEvent& event) {
     std::set<ExchangeId> named;
     for (const auto& [entry, address] : event.entries) {
         if (entry.state == ExchangeState::gone) {
@@ -254,12 +254,12 @@
     for (const ExchangeId& id : left) drop(id);
 }
 
-void Servers::use_connect_time_out(Duration time_out) {
+void SwitchConnections::use_connect_time_out(Duration time_out) {
     connect_time_out_ = time_out;
     for (const auto& [id, peer] : peers_) peer->use_connect_time_out(time_out);
 }
 
-void Servers::drop(const ExchangeId& id) {
+void SwitchConnections::drop(const ExchangeId& id) {
     const auto at = peers_.find(id);
     if (at == peers_.end()) return;
     const auto peer = at->second;
@@ -267,25 +267,25 @@
     peer->stop();
 }
 
-void Servers::stop() {
+void SwitchConnections::stop() {
     for (const auto& [id, peer] : std::exchange(peers_, {})) peer->stop();
 }
 
-bool Servers::idle() const {
+bool SwitchConnections::idle() const {
     return std::all_of(peers_.begin(), peers_.end(), [](const auto& p) { return p.second->idle(); });
 }
 
-void Servers::set_up(const ExchangeId& at, const Forward& forward) {
+void SwitchConnections::set_up(const ExchangeId& at, const Forward& forward) {
     const auto peer = peers_.find(at);
     if (peer != peers_.end()) return peer->second->set_up(forward);
     events_->ended(at, forward.call, Outcome::unreachable, Cause::none, {});
 }
 
-void Servers::give_up(const ExchangeId& at, const CallId& call) {
+void SwitchConnections::give_up(const ExchangeId& at, const CallId& call) {
     if (const auto peer = peers_.find(at); peer != peers_.end()) peer->second->give_up(call);
 }
 
-void Servers::release(const ExchangeId& at, const CallId& call) {
+void SwitchConnections::release(const ExchangeId& at, const CallId& call) {
     if (const auto peer = peers_.find(at); peer != peers_.end()) peer->second->release(call);
 }
 
--- a/src/net/servers.hpp
+++ b/src/net/switches.hpp
@@ -10,10 +10,10 @@
 
 namespace nettlestall::net {
 
-class Servers final : public Switches {
+class SwitchConnections final : public Switches {
    public:
-    Servers(asio::io_context& io, Duration connect_time_out, Counters& counters);
-    ~Servers();
+    SwitchConnections(asio::io_context& io, Duration connect_time_out, Counters& counters);
+    ~SwitchConnections();
 
     void report_to(SwitchEvents& events) { events_ = &events; }
     void list(const ListEvent& event);
--- a/src/net/trunks.cpp
+++ b/src/net/trunk_links.cpp
@@ -1,4 +1,4 @@
-#include "net/trunks.hpp"
+#include "net/trunk_links.hpp"
 
 #include <algorithm>
 #include <array>
@@ -22,7 +22,7 @@
 }  // namespace
 
 // One connection of a group.
-class Trunks::Link : public std::enable_shared_from_this<Link> {
+class TrunkLinks::Link : public std::enable_shared_from_this<Link> {
    public:
     Link(tcp::socket socket, trunk::Front::Trunk& of) : trunk(of), socket_(std::move(socket)) {
         set_up_socket(socket_);
@@ -68,8 +68,8 @@
     bool writing_ = false, ending_ = false;
 };
 
-Trunks::Trunks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-               trunk::Front::Time time, Note note)
+TrunkLinks::TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
+                       trunk::Front::Time time, Note note)
     : io_(io),
       front_(front),
       time_(std::move(time)),
@@ -82,19 +82,19 @@
     front_.on_schedule([this](Instant at) { arm(at); });
 }
 
-Trunks::~Trunks() = default;
+TrunkLinks::~TrunkLinks() = default;
 
-void Trunks::dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
+void TrunkLinks::dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
     dialled_.push_back({&trunk, to});
 }
 
-void Trunks::start() {
+void TrunkLinks::start() {
     if (listen_) spawn(io_, accept());
     for (const Dialled& dialled : dialled_) spawn(io_, keep_up(dialled));
     spawn(io_, beat());
 }
 
-void Trunks::stop() {
+void TrunkLinks::stop() {
     stopped_ = true;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
@@ -106,13 +106,13 @@
     }
 }
 
-bool Trunks::idle() const {
+bool TrunkLinks::idle() const {
     return std::all_of(links_.begin(), links_.end(), [](const auto& at) { return at.second->idle(); });
 }
 
 // ---- Connections -------------------------------------------------------------------------------------
 
-bool Trunks::listen() {
+bool TrunkLinks::listen() {
     acceptor_.open(listen_->protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     boost::system::error_code error;
@@ -125,7 +125,7 @@
     return true;
 }
 
-asio::awaitable<void> Trunks::accept() {
+asio::awaitable<void> TrunkLinks::accept() {
     asio::steady_timer pause(io_);
     for (bool told = false; !stopped_ && !listen(); told = true) {
         if (!told) note_("the trunk address is in use, it is tried again");
@@ -154,7 +154,7 @@
 
 // Reads until the far end has said which group it is of. Only then, and only if all agrees, does it take the
 // place of the connection that the group has: guards a link that works against whoever else connects.
-asio::awaitable<void> Trunks::greet(std::shared_ptr<tcp::socket> socket) {
+asio::awaitable<void> TrunkLinks::greet(std::shared_ptr<tcp::socket> socket) {
     asio::steady_timer limit(io_, kHello);
     limit.async_wait([held = std::weak_ptr(socket)](const boost::system::error_code& stopped) {
         boost::system::error_code ignored;
@@ -191,7 +191,7 @@
     co_await converse(std::move(link), std::move(first));
 }
 
-asio::awaitable<void> Trunks::keep_up(Dialled dialled) {
+asio::awaitable<void> TrunkLinks::keep_up(Dialled dialled) {
     asio::steady_timer pause(io_);
     milliseconds wait = kFirstPause;
     while (!stopped_) {
@@ -213,7 +213,7 @@
     }
 }
 
-asio::awaitable<void> Trunks::converse(std::shared_ptr<Link> link, std::string first) {
+asio::awaitable<void> TrunkLinks::converse(std::shared_ptr<Link> link, std::string first) {
     if (const auto before = links_.find(&link->trunk); before != links_.end())
         lose(before->second, "another connection takes its place");
     links_[&link->trunk] = link;
@@ -239,7 +239,7 @@
     }
 }
 
-void Trunks::lose(const std::shared_ptr<Link>& link, const std::string& why) {
+void TrunkLinks::lose(const std::shared_ptr<Link>& link, const std::string& why) {
     const auto at = links_.find(&link->trunk);
     if (at == links_.end() || at->second != link) return;
     links_.erase(at);
@@ -250,13 +250,13 @@
     if (std::exchange(last_note_[&link->trunk], text) != text) note_(text);
 }
 
-void Trunks::flush(trunk::Front::Trunk& trunk) {
+void TrunkLinks::flush(trunk::Front::Trunk& trunk) {
     if (const auto at = links_.find(&trunk); at != links_.end()) at->second->send(trunk.take_output());
 }
 
 // ---- Time --------------------------------------------------------------------------------------------
 
-asio::awaitable<void> Trunks::beat() {
+asio::awaitable<void> TrunkLinks::beat() {
     while (!stopped_) {
         beat_.expires_after(kBeat);
         co_await beat_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -272,7 +272,7 @@
     }
 }
 
-void Trunks::arm(Instant at) {
+void TrunkLinks::arm(Instant at) {
     if (stopped_ || at >= armed_) return;
     armed_ = at;
     alarm_.expires_after(std::max(Duration::zero(), at - time_()));
--- a/src/net/trunks.hpp
+++ b/src/net/trunk_links.hpp
@@ -16,16 +16,16 @@
 
 namespace nettlestall::net {
 
-class Trunks {
+class TrunkLinks {
    public:
     // Connections that have not said hello yet; at the bound the oldest makes room.
     static constexpr std::size_t kMostUnknown = 16;
 
     using Note = std::function<void(const std::string&)>;
 
-    Trunks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-           trunk::Front::Time time, Note note);
-    ~Trunks();
+    TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
+               trunk::Front::Time time, Note note);
+    ~TrunkLinks();
 
     void dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to);
     // Listens if it is to. While the address is in use it tries again, as the process before this one may
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -12,12 +12,12 @@
 #include "config/config.hpp"
 #include "config/operator_file.hpp"
 #include "log/log.hpp"
-#include "net/clients.hpp"
+#include "net/callers.hpp"
 #include "net/feed.hpp"
-#include "net/figures.hpp"
 #include "net/handover.hpp"
+#include "net/metrics.hpp"
 #include "net/operators.hpp"
-#include "net/servers.hpp"
+#include "net/switches.hpp"
 #include "trunk_service.hpp"
 
 namespace nettlestall {
@@ -333,11 +333,11 @@
     UnixClock clock_;
     Instant started_ = clock_.now();
     Counters counters_;
-    net::Servers servers_;
+    net::SwitchConnections servers_;
     calls::Routes routes_;
     calls::Gatekeeper gatekeeper_;
     std::optional<TrunkService> trunk_;
-    net::Clients clients_;
+    net::CallerConnections clients_;
     net::Feed feed_;
     net::Handover handover_;
     std::optional<net::Operators> operators_;
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -7,7 +7,7 @@
 #include "calls/gatekeeper.hpp"
 #include "config/operator_file.hpp"
 #include "log/log.hpp"
-#include "net/trunks.hpp"
+#include "net/trunk_links.hpp"
 #include "store/trunk_ledger.hpp"
 #include "trunk/desk.hpp"
 
@@ -41,7 +41,7 @@
     std::unique_ptr<store::TrunkLedger> ledger_;
     trunk::Front front_;
     trunk::Desk desk_;
-    std::optional<net::Trunks> links_;
+    std::optional<net::TrunkLinks> links_;
 };
 
 }  // namespace nettlestall
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -21,7 +21,7 @@
 
 using namespace nettlestall::protocol;
 
-constexpr int kPatienceSeconds = 20;  // for anything that must come
+constexpr int kReceiveTimeoutSeconds = 20;  // for anything that must come
 
 // An address of this process's own, so that tests side by side do not meet.
 inline std::string own_address() {
@@ -42,7 +42,7 @@
    public:
     explicit Fd(int fd) : fd_(fd) {
         CHECK(fd >= 0);
-        const timeval patience{kPatienceSeconds, 0};
+        const timeval patience{kReceiveTimeoutSeconds, 0};
         setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
     }
     Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
@@ -60,7 +60,7 @@
     int fd_;
 };
 
-struct Heard {
+struct Received {
     Type type;
     CallId call;
     int cause;
@@ -84,13 +84,13 @@
             usleep(5000);
         }
     }
-    void say(const std::string& bytes) {
+    void send(const std::string& bytes) {
         CHECK(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
               static_cast<ssize_t>(bytes.size()));
     }
-    void say(const Frame& frame) { say(frame.head + (frame.tail ? *frame.tail : "")); }
+    void send(const Frame& frame) { send(frame.head + (frame.tail ? *frame.tail : "")); }
     // The next message that is not merely polite.
-    Heard hear() {
+    Received receive() {
         for (Message message;;) {
             const Inbox::Next next = inbox_.next(message);
             CHECK(next != Inbox::Next::malformed);
@@ -111,7 +111,7 @@
     }
     // What has come by now; waits for nothing unless nothing has. False: the far end has closed.
     template <class F>
-    bool drain(F&& take) {
+    bool receive_available(F&& take) {
         const auto space = inbox_.space();
         const ssize_t bytes = ::recv(fd_.get(), space.data(), space.size(), 0);
         if (bytes <= 0) return false;
@@ -127,17 +127,17 @@
         const ssize_t bytes = ::recv(fd_.get(), &byte, 1, 0);
         return bytes == 0 || (bytes < 0 && errno == ECONNRESET);
     }
-    std::string line() {
+    std::string read_line() {
         std::string text;
         for (char c = 0; c != '\n'; text += c) CHECK(::recv(fd_.get(), &c, 1, 0) == 1);
         return text;
     }
-    std::string all() {  // until the far end closes
+    std::string read_all() {  // until the far end closes
         std::string text;
         for (char c = 0; ::recv(fd_.get(), &c, 1, 0) == 1;) text += c;
         return text;
     }
-    void hang_up() { fd_.close(); }
+    void close() { fd_.close(); }
 
    private:
     Fd fd_;
@@ -155,7 +155,7 @@
         port_ = ntohs(at.sin_port);
     }
     Peer accept() { return Peer(::accept(fd_.get(), nullptr, nullptr)); }
-    void hang_up() { fd_.close(); }
+    void close() { fd_.close(); }
     int port() const { return port_; }
     std::string address() const { return own_address() + ':' + std::to_string(port_); }
 
@@ -172,7 +172,7 @@
             const std::string& file = "")
         : stem_("/tmp/program_test." + std::to_string(getpid()) + '.' + std::to_string(++count())) {
         const std::string at = own_address() + ':' + std::to_string(operators);
-        configure(config);
+        write_config(config);
         pid_ = fork();
         CHECK(pid_ >= 0);
         if (pid_ == 0) {
@@ -191,7 +191,7 @@
         if (pid_ > 0) ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
         for (const char* end : {".json", ".log"}) unlink((stem_ + end).c_str());
     }
-    void configure(const std::string& config) { std::ofstream(stem_ + ".json") << config; }
+    void write_config(const std::string& config) { std::ofstream(stem_ + ".json") << config; }
     void signal(int number) { CHECK(::kill(pid_, number) == 0); }
     int exit_code() {
         int status = 0;
@@ -217,12 +217,12 @@
     pid_t pid_ = -1;
 };
 
-inline std::string server(int cell, const std::string& address, const char* state = "active") {
+inline std::string switch_json(int cell, const std::string& address, const char* state = "active") {
     return R"({"id":"s-)" + std::to_string(cell) + R"(","addr":")" + address + R"(","cell":)" +
            std::to_string(cell) + R"(,"state":")" + state + R"(","started_ms":0})";
 }
 
-inline std::string event(int number, bool full, const std::string& servers) {
+inline std::string event_json(int number, bool full, const std::string& servers) {
     return R"({"n":)" + std::to_string(number) + R"(,"members":{"version":1,"full":)" +
            (full ? "true" : "false") + R"(,"servers":[)" + servers + "]}}";
 }
@@ -241,7 +241,7 @@
     return FrameBuilder(Type::answer, call).done(std::make_shared<const std::string>("media\r\n of " + call));
 }
 
-inline Frame group(const char* state) {
+inline Frame group_state(const char* state) {
     return FrameBuilder(Type::group_state, "").text(Code::report, state).done();
 }
 
@@ -249,30 +249,30 @@
     return FrameBuilder(Type::release, call).cause(cause).done();
 }
 
-inline Heard test(Peer& caller) {
-    caller.say(FrameBuilder(Type::test, "00000000000000aa").cause(0).done());
-    const Heard heard = caller.hear();
+inline Received health_check(Peer& caller) {
+    caller.send(FrameBuilder(Type::test, "00000000000000aa").cause(0).done());
+    const Received heard = caller.receive();
     CHECK(heard.type == Type::test_result && heard.call == "00000000000000aa");
     return heard;
 }
 
 // An operator's call and its whole reply; the status is its second word.
-inline std::string operators(int port, const std::string& call) {
+inline std::string operator_reply(int port, const std::string& call) {
     Peer peer = Peer::connect(port);
-    peer.say(call + " HTTP/1.1\r\nHost: gatekeeper\r\n\r\n");
-    return peer.all();
+    peer.send(call + " HTTP/1.1\r\nHost: gatekeeper\r\n\r\n");
+    return peer.read_all();
 }
 
-inline bool says_yes(int port, const std::string& call) {
-    return operators(port, call).find(" 200 ") == 8;
+inline bool succeeds(int port, const std::string& call) {
+    return operator_reply(port, call).find(" 200 ") == 8;
 }
 
 // A long connect time-out keeps the program from taking a slow test for a silent switch.
-inline std::string config(int port, const Listener& feed, const Listener& at_switch,
-                          const char* connect_time_out) {
+inline std::string config_json(int port, const Listener& feed, const Listener& at_switch,
+                               const char* connect_time_out) {
     return R"({"name":"n","listen":")" + own_address() + ':' + std::to_string(port) + R"(","feed":")" +
            feed.address() + R"(","seed":"5","known":{"n":1,"events":[)" +
-           event(1, true, server(1, at_switch.address())) +
+           event_json(1, true, switch_json(1, at_switch.address())) +
            R"(]},"limits":{"sockets":40},"settings":{"self_index":0,"fleet_size":3,)"
            R"("family_info":{"this_node":0,"release_s":0.3},)"
            R"("grades":[{"name":"move","aim_s":20,"deadline_s":90}],"limits":{"send_cap":5,"open_cap":100,)"
--- a/tests/trunk/glare_test.cpp
+++ b/tests/trunk/glare_test.cpp
@@ -18,7 +18,7 @@
 };
 
 int figure(int port, const std::string& name) {
-    const std::string text = operators(port, "GET /metrics");
+    const std::string text = operator_reply(port, "GET /metrics");
     const auto at = text.find(name + ":");
     return at == std::string::npos ? 0 : std::atoi(text.c_str() + at + name.size() + 1);
 }
@@ -46,25 +46,25 @@
                 open[id] = h;
                 ++tally.calls;
             }
-        callers[0].say(bytes[0]), callers[1].say(bytes[1]);
+        callers[0].send(bytes[0]), callers[1].send(bytes[1]);
         while (!open.empty()) {
             pollfd sources[4] = {{callers[0].fd(), POLLIN, 0},
                                  {callers[1].fd(), POLLIN, 0},
                                  {lines[0].fd(), POLLIN, 0},
                                  {lines[1].fd(), POLLIN, 0}};
-            CHECK(poll(sources, 4, kPatienceSeconds * 1000) > 0);
+            CHECK(poll(sources, 4, kReceiveTimeoutSeconds * 1000) > 0);
             for (int h = 0; h < 2; ++h) {
                 if (sources[2 + h].revents)
-                    CHECK(lines[h].drain([&](const Message& message) {
-                        if (message.type == Type::set_up) lines[h].say(answer(message.call()));
-                        if (message.type == Type::release) lines[h].say(group("x0:500;x1:500"));
+                    CHECK(lines[h].receive_available([&](const Message& message) {
+                        if (message.type == Type::set_up) lines[h].send(answer(message.call()));
+                        if (message.type == Type::release) lines[h].send(group_state("x0:500;x1:500"));
                     }));
                 if (sources[h].revents)
-                    CHECK(callers[h].drain([&](const Message& message) {
+                    CHECK(callers[h].receive_available([&](const Message& message) {
                         const CallId call = message.call();
                         if (message.type == Type::answer) {
                             ++tally.answered, ++tally.finals[call];
-                            callers[h].say(release(call, 16));
+                            callers[h].send(release(call, 16));
                         } else if (message.type == Type::release) {
                             ++tally.turned_away, ++tally.finals[call];
                         } else {
--- a/tests/trunk/hubs.hpp
+++ b/tests/trunk/hubs.hpp
@@ -78,16 +78,16 @@
     }
     Peer lines(int h) {
         Peer peer = at(h).lines.accept();
-        peer.say(group("x0:500;x1:500"));
+        peer.send(group_state("x0:500;x1:500"));
         return peer;
     }
     void await_link() {
         for (int h : {a, b})
-            while (operators(at(h).operators, "GET /circuits").find(" up ") == std::string::npos)
+            while (operator_reply(at(h).operators, "GET /circuits").find(" up ") == std::string::npos)
                 usleep(5000);
     }
     std::string circuits(int h, const std::string& more = "/7?all=1") {
-        return operators(at(h).operators, "GET /circuits" + more);
+        return operator_reply(at(h).operators, "GET /circuits" + more);
     }
     int busy(int h) {
         const std::string text = circuits(h);
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -19,26 +19,26 @@
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.say(Hubs::call_to(one, 2, "live-board"));
-    const Heard offer = lines_b.hear();
+    caller.send(Hubs::call_to(one, 2, "live-board"));
+    const Received offer = lines_b.receive();
     CHECK(offer.type == Type::set_up && offer.call == one && offer.service_class == "live-board");
     CHECK(offer.number == "7f3a" && offer.description == "offer of " + one);
     CHECK(hubs.busy(a) == 3 && hubs.busy(b) == 3);
-    lines_b.say(answer(one));
-    const Heard answered = caller.hear();
+    lines_b.send(answer(one));
+    const Received answered = caller.receive();
     CHECK(answered.type == Type::answer && answered.description == "media\r\n of " + one);
-    lines_b.say(release(one, 16));
-    const Heard over = caller.hear();
+    lines_b.send(release(one, 16));
+    const Received over = caller.receive();
     CHECK(over.type == Type::release && over.call == one && over.cause == 16);
     hubs.await_idle();
     // The other way, ended by the caller; then one that the far lines refuse.
     Peer other = Peer::connect(hubs.at(b).callers);
-    other.say(Hubs::call_to(two, 1));
-    CHECK(lines_a.hear().call == two);
-    lines_a.say(answer(two));
-    CHECK(other.hear().type == Type::answer);
-    other.say(release(two, 16));
-    CHECK(lines_a.hear().type == Type::release);
+    other.send(Hubs::call_to(two, 1));
+    CHECK(lines_a.receive().call == two);
+    lines_a.send(answer(two));
+    CHECK(other.receive().type == Type::answer);
+    other.send(release(two, 16));
+    CHECK(lines_a.receive().type == Type::release);
     hubs.await_idle();
 }
 
@@ -49,17 +49,17 @@
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
         Peer caller = Peer::connect(hubs.at(a).callers);
-        caller.say(Hubs::call_to(one, 2));
-        CHECK(lines_b.hear().call == one);
-        lines_b.say(answer(one));
-        CHECK(caller.hear().type == Type::answer);
+        caller.send(Hubs::call_to(one, 2));
+        CHECK(lines_b.receive().call == one);
+        lines_b.send(answer(one));
+        CHECK(caller.receive().type == Type::answer);
         hubs.crash(crashed);
         Peer lines_again = hubs.lines(crashed);
         hubs.await_link();
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
         Peer caller_again = crashed == a ? Peer::connect(hubs.at(a).callers) : std::move(caller);
-        (crashed == b ? lines_again : lines_b).say(release(one, 16));
-        const Heard over = caller_again.hear();
+        (crashed == b ? lines_again : lines_b).send(release(one, 16));
+        const Received over = caller_again.receive();
         CHECK(over.type == Type::release && over.call == one && over.cause == 16);
         hubs.await_idle();
     }
@@ -72,25 +72,25 @@
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
         Peer caller = Peer::connect(hubs.at(a).callers);
-        caller.say(Hubs::call_to(one, 2));
-        CHECK(lines_b.hear().call == one);
-        lines_b.say(answer(one));
-        CHECK(caller.hear().type == Type::answer);
+        caller.send(Hubs::call_to(one, 2));
+        CHECK(lines_b.receive().call == one);
+        lines_b.send(answer(one));
+        CHECK(caller.receive().type == Type::answer);
         const int desk = Listener().port();
         auto next = hubs.successor(upgraded, desk);
         Peer lines_next = hubs.lines(upgraded);
-        while (!says_yes(desk, "GET /ready")) usleep(5000);
+        while (!succeeds(desk, "GET /ready")) usleep(5000);
         hubs.at(upgraded).operators = desk;
         hubs.await_link();
         hubs.at(upgraded).program->signal(SIGTERM);
         CHECK(hubs.at(upgraded).program->exit_code() == 0);
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
-        (upgraded == b ? lines_next : lines_b).say(release(one, 16));
-        const Heard over = caller.hear();
+        (upgraded == b ? lines_next : lines_b).send(release(one, 16));
+        const Received over = caller.receive();
         CHECK(over.type == Type::release && over.call == one && over.cause == 16);
         hubs.await_idle();
-        caller.say(Hubs::call_to(two, 2));
-        CHECK((upgraded == b ? lines_next : lines_b).hear().call == two);
+        caller.send(Hubs::call_to(two, 2));
+        CHECK((upgraded == b ? lines_next : lines_b).receive().call == two);
     }
 }
 
@@ -99,18 +99,18 @@
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.say(Hubs::call_to(one, 2, "live-board"));
-    CHECK(lines_b.hear().call == one);
-    lines_b.say(answer(one));
-    CHECK(caller.hear().type == Type::answer);
+    caller.send(Hubs::call_to(one, 2, "live-board"));
+    CHECK(lines_b.receive().call == one);
+    lines_b.send(answer(one));
+    CHECK(caller.receive().type == Type::answer);
     hubs.crash(b);
-    const Heard cut = caller.hear();
+    const Received cut = caller.receive();
     CHECK(cut.type == Type::release && cut.call == one && cut.cause == 41);
     Peer lines_again = hubs.lines(b);
     hubs.await_link();
     hubs.await_idle();
-    caller.say(Hubs::call_to(two, 2));
-    CHECK(lines_again.hear().call == two);
+    caller.send(Hubs::call_to(two, 2));
+    CHECK(lines_again.receive().call == two);
 }
 
 // A ledger that is torn or of another hub is named, set aside and not believed.
@@ -143,12 +143,12 @@
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.say(Hubs::call_to(one, 2));
-    CHECK(lines_b.hear().call == one);
+    caller.send(Hubs::call_to(one, 2));
+    CHECK(lines_b.receive().call == one);
     const auto refused = [&](const std::string& bytes) {
         Peer stranger = Peer::connect(hubs.at(b).trunk);
-        stranger.say(bytes);
-        stranger.all();  // until it is closed
+        stranger.send(bytes);
+        stranger.read_all();  // until it is closed
     };
     refused(std::string(64, '\xff'));
     refused(std::string("\0\0\0\0", 4));
@@ -159,8 +159,8 @@
     hubs.at(b).program->await_log("number of circuits is 5 there and 4 here");
     std::vector<Peer> silent;
     for (int i = 0; i < 20; ++i) silent.push_back(Peer::connect(hubs.at(b).trunk));
-    lines_b.say(answer(one));
-    CHECK(caller.hear().type == Type::answer && hubs.busy(b) == 1);
+    lines_b.send(answer(one));
+    CHECK(caller.receive().type == Type::answer && hubs.busy(b) == 1);
 }
 
 void operators_see_block_and_audit(const char* path) {
@@ -180,8 +180,8 @@
     CHECK(hubs.circuits(a, "").find("7 hub-2 20 up 4 1 0 3 0 0") != std::string::npos);
     // A wide call finds no circuits, and blocking outlives the process.
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.say(Hubs::call_to(one, 2, "live-board", 300));
-    CHECK(caller.hear().type == Type::release);
+    caller.send(Hubs::call_to(one, 2, "live-board", 300));
+    CHECK(caller.receive().type == Type::release);
     hubs.crash(a);
     Peer lines_again = hubs.lines(a);
     hubs.await_link();
@@ -206,7 +206,8 @@
     hubs.write_file(a, 4, false, "<audit every-s=\"0.5\" patience-s=\"0.2\"/>");
     program.signal(SIGHUP);
     program.await_log("configuration taken over");
-    while (operators(hubs.at(a).operators, "GET /metrics").find("app.trunk.7.audits:0|") != std::string::npos)
+    while (operator_reply(hubs.at(a).operators, "GET /metrics").find("app.trunk.7.audits:0|") !=
+           std::string::npos)
         usleep(5000);
 }
 
