--- a/src/call_control.cpp
+++ b/src/call_control.cpp
@@ -5,6 +5,8 @@
 // while what it lacks can still come by its aim, else it is refused at once. What a processor can take is
 // judged by how it answers.
 
+#include "nettlestall/call_control.hpp"
+
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -18,8 +20,6 @@
 #include <utility>
 #include <vector>
 
-#include "nettlestall/call_control.hpp"
-
 namespace nettlestall {
 namespace {
 
