--- a/include/nettlestall/call_control.hpp
+++ b/include/nettlestall/call_control.hpp
@@ -1,7 +1,8 @@
-// nettlestall: the call control of one exchange in a mesh of switches.
+// The call control of one exchange in a mesh of switches: it decides which calls are accepted and over which
+// route each one is set up.
 //
-// The host hands every event to CallControl::handle with its own clock and carries out the actions
-// that come back, in order. Nothing here does I/O, reads a clock or starts a thread.
+// The host hands every event to CallControl::handle with its own clock and carries out the actions that come
+// back, in order. Nothing here does I/O, reads a clock or starts a thread.
 // All decisions are in src/call_control.cpp.
 #pragma once
 
@@ -16,127 +17,142 @@
 namespace nettlestall {
 
 using Duration = std::chrono::microseconds;
-using Instant = std::chrono::microseconds;  // since an origin of the host's choosing; never runs back
+using Instant = std::chrono::microseconds;  // since an origin that the host chooses; never decreases
 using CallId = std::string;
-using ExchangeId = std::string;  // one machine; a machine that takes its place has another id
+using ExchangeId = std::string;  // one machine; a machine that replaces it has another id
 
 constexpr int kNoExchange = -1;  // no exchange number
 
 // ---- Settings: what is known at the start -------------------------------------------------------
 
-enum class RepeatPolicy { safe, discarded_by_group, never };  // may an attempt that perhaps ran be sent again
-enum class RepeatScope { all, zone, exchange };               // who discards repeats
+// Whether an attempt that may already have run may be sent again: `safe` always, `discarded_by_group` where
+// the receivers discard repeats, `never`.
+enum class RepeatPolicy { safe, discarded_by_group, never };
+// Which receivers discard repeats together.
+enum class RepeatScope { all, zone, exchange };
 
+// One service class.
 struct ClassSettings {
     std::string name;
-    double worth = 1.0;
-    double late_worth = 0.0;  // share of the worth if set up after the aim
-    Duration aim{};
-    Duration deadline{};
-    double aim_stretch = 0.0;  // aim grows by this multiple of the call's expected work
+    double worth = 1.0;        // value of a call that is answered within the aim
+    double late_worth = 0.0;   // share of the worth if the call is set up after the aim
+    Duration aim{};            // answer-time target
+    Duration deadline{};       // after it, a redial counts as a new call
+    double aim_stretch = 0.0;  // the aim grows by this multiple of the call's expected work
     int width = 1;             // circuits on each trunk group
-    Duration holding_time{};   // mean; zero if not told
+    Duration holding_time{};   // mean; zero if unknown
     RepeatPolicy repeat = RepeatPolicy::safe;
     RepeatScope repeat_scope = RepeatScope::all;
-    Duration repeat_window{};
-    std::vector<int> pools;  // pools that may serve it; empty: all
+    Duration repeat_window{};  // how long repeats are discarded
+    std::vector<int> pools;    // pools that may serve it; empty: all
 };
 
+// One tenant.
 struct TenantSettings {
     std::string name;
-    double quota_per_second = 0.0;  // over all call controls; zero: none stated
-    double share = 0.0;
+    double quota_per_second = 0.0;  // over all call controls; zero: no quota
+    double share = 0.0;             // of the calls
 };
 
-struct Prices {  // points of service, each for its full rate
+// Costs in points of service, each for its full rate.
+struct Prices {
     double late_failure = 0.0, wasted_work = 0.0, probe = 0.0, peer_message = 0.0, discovery = 0.0;
     double cross_zone = 0.0;
 };
 
+// All settings of one call control.
 struct Settings {
     int own_exchange = kNoExchange;  // kNoExchange where the far ends are pools
-    int own_index = 0;
-    int call_control_count = 1;  // call controls in the network, this one included
+    int own_index = 0;               // of this call control among all of them
+    int call_control_count = 1;      // call controls in the network, this one included
     std::string own_zone;
-    bool uses_pools = false;  // pools of agents in place of a mesh: no transit
+    bool uses_pools = false;  // pools of agents instead of a mesh: no transit
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    double over_share_worth = 1.0;
+    double over_share_worth = 1.0;  // factor on the worth of calls over a tenant's share
     Duration min_event_interval{};  // events come no more often than this
 
-    int max_attempts = 1;
-    int max_open_calls = 0;  // zero: none stated
+    int max_attempts = 1;    // for each call
+    int max_open_calls = 0;  // zero: no limit
     bool may_cancel = false, may_probe = false, may_message_peers = false, may_advise_pause = false;
     bool may_duplicate = false;
-    Duration max_pause{};
+    Duration max_pause{};  // longest pause that callers honour
 
-    bool list_on_request = false;
-    Duration list_request_time_limit{};
+    bool list_on_request = false;        // the exchange list must be requested, it is not sent unasked
+    Duration list_request_time_limit{};  // within which the list must be requested
     bool callers_mark_redials = false;
-    bool centre_advises_tandem = false;  // calls name the tandem with most room at a centre's last look
-    bool reports_wait = false;           // a full processor names a wait
-    Duration set_up_repeat_interval{};   // a waiting set-up is sent again after this; zero: never
-    bool reports_load = false;           // in the ends of attempts
+    bool centre_advises_tandem =
+        false;                  // calls name the tandem with most free circuits that a centre last saw
+    bool reports_wait = false;  // a full processor names the time to wait
+    Duration set_up_repeat_interval{};  // a waiting set-up is sent again after this; zero: never
+    bool reports_load = false;          // in the ends of attempts
     bool reports_load_on_probe = false;
 
     Duration answer_grace{};        // slack after the deadline within which a final answer counts
-    Duration drain_grace{};         // until sends to a draining or gone exchange must have stopped
+    Duration drain_grace{};         // until set-ups to a draining or gone exchange must have stopped
     Duration release_wait{};        // after a time-out, reset or cancel, until the call may be sent again
-    double cold_start_share = 1.0;  // share of its capacity that a fresh processor has at least
-    Duration warm_up_time{};        // and this long until it has all of it
-    double overload_multiple = 0;   // sent more than this multiple of its present capacity
-    Duration overload_span{};       // for this long, it falls over; zero: no such rule
+    double cold_start_share = 1.0;  // share of its capacity that a cold processor has at its start
+    Duration warm_up_time{};        // from the start of a processor until it has its full capacity
+    double overload_multiple = 0;  // a processor that is sent more than this multiple of its present capacity
+    Duration overload_span{};      // for this long fails from overload; zero: there is no such rule
     Prices prices;
 };
 
 // ---- Events --------------------------------------------------------------------------------------
 
-struct LoadReport {  // negative: not reported
+// What an exchange reports of its load. Negative: not reported.
+struct LoadReport {
     int free_circuits = -1;
-    int group_size = -1;
+    int group_size = -1;  // circuits
     double busy_messages = -1, waiting_messages = -1, utilisation = -1, wait_ms = -1;
-    double max_set_ups_per_second = -1;  // new set-ups, from all senders together
-    double throttle_share = -1;          // of new set-ups, asked of each sender
+    double max_set_ups_per_second = -1;  // new set-ups that it can handle, from all senders together
+    double throttle_share = -1;          // share of new set-ups that each sender is asked to hold back
 };
 
+// A caller offers a call. Its final answer is SetUp with a CallAnswered, Refuse or Fail.
 struct CallOffered {
     CallId call{};
     int destination = kNoExchange;
-    int width = 1;
+    int width = 1;  // circuits
     int service_class = 0;
     int tenant = 0;
     int advised_exchange = kNoExchange;   // tandem or pool named by the centre
     int previous_exchange = kNoExchange;  // in transit: the exchange that it comes from
-    Duration time_left{};                 // left until this try must have its final answer
+    Duration time_left{};                 // until this attempt of the caller must have its final answer
     Duration expected_work{};
     bool transit = false;
-    bool is_reconnect = false;    // it stood, was cut and comes again
+    bool is_reconnect = false;    // it was answered, was cut and is offered again
     bool redial = false;          // where callers mark redials
-    std::string called_number{};  // the number called; may be empty
+    std::string called_number{};  // may be empty
 };
 
+// A set-up was answered.
 struct CallAnswered {
     CallId call;
     int attempt = 0;
     ExchangeId exchange;
-    Duration response_time{};
+    Duration response_time{};  // from the set-up to the answer
 };
 
+// How an attempt ended.
 enum class Outcome { ended, failed, rejected, timed_out, unreachable, reset, cancelled, not_sent };
+// Why; `rejected_by_tandem` and `far_processor_full` are rejections by a tandem, not by the destination.
 enum class Cause { none, no_circuit, rejected_by_tandem, far_processor_full, processor_full, number_busy };
 
+// An attempt or an answered call is over.
 struct AttemptEnded {
     CallId call{};
     int attempt = 0;
     ExchangeId exchange{};
     Outcome outcome = Outcome::ended;
     Cause cause = Cause::none;
-    Duration requested_wait{};
-    bool final = false;  // the call is finished, by this or earlier
-    Duration response_time{};
+    Duration requested_wait{};  // time that a full processor asks senders to wait
+    bool final = false;         // the call is finished, by this attempt or an earlier one
+    Duration response_time{};   // from the set-up to this end
     LoadReport load{};
 };
 
+// The caller left before the final answer.
 struct CallAbandoned {
     CallId call;
 };
@@ -151,6 +167,7 @@
 };
 
 enum class ExchangeState { ready, draining, gone };
+// One machine in the exchange list.
 struct ExchangeEntry {
     ExchangeId exchange;
     int number = kNoExchange;
@@ -159,9 +176,11 @@
     std::string zone{};
     std::string kind{};
     double size = 1.0;
-    bool never_tandem = false;  // it ends calls and never passes them on: no tandem
+    bool never_tandem = false;  // it has subscriber lines only and passes no calls on
 };
 
+// What the entries of a list are: the changes since the last list, all exchanges, all exchanges as a cache
+// had them, or nothing, since the request failed.
 enum class ListKind { changes, complete, cached, failed };
 struct ExchangeList {
     ListKind kind = ListKind::complete;
@@ -169,11 +188,13 @@
     std::vector<ExchangeEntry> entries;
 };
 
+// A message from another call control.
 struct PeerMessage {
-    int from = 0;
+    int from = 0;  // its index
     std::vector<std::uint8_t> bytes;
 };
 
+// A timer of SetTimer has expired.
 struct TimerExpired {
     std::int64_t token = 0;
 };
@@ -183,40 +204,51 @@
 
 // ---- Actions -------------------------------------------------------------------------------------
 
-struct SetUp {  // toward the destination: direct; toward another exchange: with it as the tandem
+// Send a set-up: to the destination on the direct route, to another exchange with it as the tandem.
+struct SetUp {
     CallId call;
     ExchangeId exchange;
     Duration time_out{};
 };
-struct Refuse {  // final: the caller may dial again, after the pause if one is advised
+// Final answer: the call is refused. The caller may dial again, after the pause if one is advised.
+struct Refuse {
     CallId call;
-    Duration pause{};
+    Duration pause{};  // zero: none advised
 };
-struct Fail {  // final: given up
+// Final answer: the call failed and may already have run.
+struct Fail {
     CallId call;
 };
+// Cancel an attempt.
 struct Cancel {
     CallId call;
     int attempt = 0;
 };
+// Ask an exchange for a report.
 struct Probe {
     ExchangeId exchange;
 };
+// Send a message to other call controls.
 struct SendPeerMessage {
-    int to = kNoExchange;  // kNoExchange: all
+    int to = kNoExchange;  // index of the receiver; kNoExchange: all
     std::vector<std::uint8_t> bytes;
 };
+// Deliver TimerExpired with this token after the delay.
 struct SetTimer {
     Duration delay{};
     std::int64_t token = 0;
 };
+// Start or end the subscription to the exchange list.
 struct SubscribeList {
     bool on = true;
 };
+// Request the exchange list once.
 struct RequestList {};
+// Close the idle connection to an exchange.
 struct CloseIdleConnection {
     ExchangeId exchange;
 };
+// Write a line to the log.
 struct Note {
     std::string text;
 };
@@ -224,26 +256,30 @@
 using Action = std::variant<SetUp, Refuse, Fail, Cancel, Probe, SendPeerMessage, SetTimer, SubscribeList,
                             RequestList, CloseIdleConnection, Note>;
 
+// Decides on the calls of one exchange. Equal settings, seeds and events give equal actions.
 class CallControl {
    public:
+    // `seed` starts the random numbers.
     CallControl(Settings settings, std::uint64_t seed);
     ~CallControl();
     CallControl(CallControl&&) noexcept;
     CallControl& operator=(CallControl&&) noexcept;
 
-    // Appends what is to be done to `actions`. `now` must not run back from one event to the next.
+    // Appends what is to be done to `actions`. `now` must not decrease from one event to the next. An event
+    // that names an unknown call or exchange has no effect; a call that cannot be served is refused.
     void handle(Instant now, const Event& event, std::vector<Action>& actions);
 
-    // Whether these settings speak of the same exchange and the same classes, so that what was learned and
-    // the calls in hand keep their meaning; only then may they be taken over in service.
+    // Whether these settings are for the same exchange and the same classes. Only then may they be applied in
+    // service, since the learned tables and the calls in hand refer to classes by position.
     bool can_apply(const Settings& settings) const;
+    // Replaces the settings; can_apply must hold for them.
     void apply(Settings settings);
 
-    // Exchanges of the list that get no new set-ups as things are: those that drain, and those silent or full
-    // when last asked, which get a trial now and then.
+    // Exchanges in the list that get no new set-ups at present: those that drain, and those that were silent
+    // or full at their last set-up, which get a trial set-up now and then.
     std::size_t avoided_exchange_count() const;
 
-    // In all tables that grow with calls and exchanges; for tests.
+    // Entries in all tables that grow with calls and exchanges, to test that they are bounded.
     std::size_t table_entry_count() const;
 
    private:
