--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -14,17 +14,19 @@
 using namespace json;
 using Json = json::Value;
 
-double seconds(Duration time) {
+// The wire carries times in seconds.
+double to_seconds(Duration time) {
     return static_cast<double>(time.count()) / 1e6;
 }
 
-// The places of names in the start settings: classes and tenants are told by name.
-int place(const std::vector<std::string>& names, const std::string& name, const char* what) {
+// The index of a name in the settings: events refer to classes and tenants by name. Throws BadInput.
+int index_of(const std::vector<std::string>& names, const std::string& name, const char* what) {
     for (std::size_t i = 0; i < names.size(); ++i)
         if (names[i] == name) return static_cast<int>(i);
     throw_bad_input(std::string("unknown ") + what + " '" + name + "'");
 }
 
+// The load in the event's 'usage'; what it lacks is not reported.
 LoadReport read_load(const Json& event) {
     LoadReport load;
     const Json& usage = get_container_or_empty(event, "usage", false);
@@ -42,6 +44,7 @@
     return load;
 }
 
+// The exchanges that a census lists. Throws BadInput.
 std::vector<ExchangeEntry> read_entries(const Json& census) {
     std::vector<ExchangeEntry> entries;
     for (const Json& member : get_container(census, "members_list", true).GetArray()) {
@@ -68,6 +71,7 @@
     return entries;
 }
 
+// The bytes that hex digits stand for. Throws BadInput.
 std::vector<std::uint8_t> read_hex(const std::string& text) {
     const auto digit = [](char c) {
         if (c >= '0' && c <= '9') return c - '0';
@@ -89,6 +93,7 @@
     return text;
 }
 
+// The outcome that a letter stands for. Throws BadInput.
 Outcome read_outcome(const std::string& code) {
     if (code == "S") return Outcome::ended;
     if (code == "E") return Outcome::failed;
@@ -101,15 +106,16 @@
     throw_bad_input("unknown 'disposition' '" + code + "'");
 }
 
-using Out = rapidjson::Writer<rapidjson::StringBuffer>;
+using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-void put(Out& out, const char* key, const std::string& text) {
+void write_text(JsonWriter& out, const char* key, const std::string& text) {
     out.Key(key);
     out.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
+// Writes an action as members of the JSON object that was begun.
 struct ActionWriter {
-    Out& out;
+    JsonWriter& out;
 
     void command(const char* name) const {
         out.Key("cmd");
@@ -117,16 +123,16 @@
     }
     void command(const char* name, const char* key, const std::string& text) const {
         command(name);
-        put(out, key, text);
+        write_text(out, key, text);
     }
     void time(const char* key, Duration time) const {
         out.Key(key);
-        out.Double(seconds(time));
+        out.Double(to_seconds(time));
     }
 
     void operator()(const SetUp& a) const {
         command("assign", "xid", a.call);
-        put(out, "exchange", a.exchange);
+        write_text(out, "exchange", a.exchange);
         time("max_wait_s", a.time_out);
     }
     void operator()(const Refuse& a) const {
@@ -148,7 +154,7 @@
         } else {
             out.Int(a.to);
         }
-        put(out, "blob", write_hex(a.bytes));
+        write_text(out, "blob", write_hex(a.bytes));
     }
     void operator()(const SetTimer& a) const {
         command("wake_at");
@@ -168,22 +174,26 @@
 
 }  // namespace
 
+// One call control, with the names by which events refer to its classes and tenants.
 struct Host::Instance {
     explicit Instance(const Settings& settings, std::uint64_t seed) : control(settings, seed) {
-        for (const auto& c : settings.classes) classes.push_back(c.name);
-        for (const auto& t : settings.tenants) tenants.push_back(t.name);
+        for (const auto& c : settings.classes) class_names.push_back(c.name);
+        for (const auto& t : settings.tenants) tenant_names.push_back(t.name);
     }
 
-    Event read(const std::string& cmd, const Json& event) const {
+    // The event of a command. Throws BadInput.
+    Event read_event(const std::string& cmd, const Json& event) const {
         if (cmd == "demand") {
             CallOffered e;
             e.call = get_required<std::string>(event, "xid");
             e.destination = get_required<int>(event, "dest");
             e.width = get_required<int>(event, "channels");
             if (e.width < 1) throw_bad_input("'channels' must be 1 or more");
-            e.service_class = place(classes, get_required<std::string>(event, "category"), "'category'");
+            e.service_class =
+                index_of(class_names, get_required<std::string>(event, "category"), "'category'");
             if (const Json* group = find(event, "client_group"); group && group->IsString())
-                e.tenant = place(tenants, convert<std::string>(*group, "client_group"), "'client_group'");
+                e.tenant =
+                    index_of(tenant_names, convert<std::string>(*group, "client_group"), "'client_group'");
             e.transit = get_or(event, "transit", false);
             (e.transit ? e.previous_exchange : e.advised_exchange) = get_or(event, "hop", kNoExchange);
             e.time_left = get_required_duration(event, "grace_s");
@@ -209,7 +219,7 @@
             const int reason = get_or(event, "reason", 0);
             if (reason == 18) {
                 e.cause = Cause::far_processor_full;
-            } else if (reason % 16 == 3) {  // the told wait, in milliseconds, stands above the code
+            } else if (reason % 16 == 3) {  // code + 16 * requested wait in milliseconds
                 e.cause = Cause::processor_full;
                 e.requested_wait = std::chrono::milliseconds(reason / 16);
             } else if (reason == 1) {
@@ -239,11 +249,11 @@
     }
 
     CallControl control;
-    std::vector<std::string> classes;
-    std::vector<std::string> tenants;
+    std::vector<std::string> class_names;
+    std::vector<std::string> tenant_names;
 };
 
-std::string Host::reply(const std::string& line) {
+std::string Host::handle_batch(const std::string& line) {
     rapidjson::Document batch;
     batch.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(line.data(),
                                                                                      line.size());
@@ -251,7 +261,7 @@
     if (!batch.IsObject()) throw_bad_input("a batch must be an object");
     const Instant now = get_required_duration(batch, "ts_s");
     rapidjson::StringBuffer text;
-    Out out(text);
+    JsonWriter out(text);
     out.StartObject();
     out.Key("n");
     out.Int64(get_required<std::int64_t>(batch, "n"));
@@ -270,7 +280,7 @@
                 if (cmd == "census") {
                     const int buffer = get_required<int>(event, "buffer");
                     if (buffer < 0 || buffer > 15) throw_bad_input("'buffer' must be 0 to 15");
-                    lists_[buffer] = read_entries(event);
+                    exchange_lists_[buffer] = read_entries(event);
                 } else if (cmd == "born") {
                     instances_[router] = std::make_shared<Instance>(
                         config::read_settings(get_container(event, "facts", false)),
@@ -292,18 +302,19 @@
                                                        : (throw_bad_input("unknown 'kind' '" + kind + "'"),
                                                           ListKind::failed);
                         if (list.kind != ListKind::failed) {
-                            const auto entries = lists_.find(get_required<int>(event, "buffer"));
-                            if (entries == lists_.end()) throw_bad_input("unknown census number in 'buffer'");
+                            const auto entries = exchange_lists_.find(get_required<int>(event, "buffer"));
+                            if (entries == exchange_lists_.end())
+                                throw_bad_input("unknown census number in 'buffer'");
                             list.entries = entries->second;
                         }
                         at->second->control.handle(now, list, actions);
                     } else {
-                        at->second->control.handle(now, at->second->read(cmd, event), actions);
+                        at->second->control.handle(now, at->second->read_event(cmd, event), actions);
                     }
                 }
-            } catch (const BadInput& problem) {
+            } catch (const BadInput& error) {
                 throw_bad_input("router " + std::to_string(router) + ", event " + std::to_string(number) +
-                                " (" + cmd + "): " + problem.what());
+                                " (" + cmd + "): " + error.what());
             }
             ++number;
         }
--- a/src/wire/host.hpp
+++ b/src/wire/host.hpp
@@ -1,5 +1,5 @@
-// Carries the simulator's wire (JSON, one batch a line) to the module's events and its actions back.
-// No decisions here.
+// Translates between the operators' simulator and call control: JSON, with one batch of events on a line, to
+// events, and actions to JSON. It makes no decisions.
 #pragma once
 
 #include <map>
@@ -14,15 +14,17 @@
 
 using json::BadInput;
 
+// Runs the call controls that the simulator starts, by router number.
 class Host {
    public:
-    // Answers one batch with one reply, without the line's end. Throws BadInput.
-    std::string reply(const std::string& line);
+    // Handles one batch and returns the reply to it, without a line end. Throws BadInput on input that is not
+    // a valid batch; the events before the invalid one have then been handled.
+    std::string handle_batch(const std::string& line);
 
    private:
     struct Instance;
-    std::map<int, std::shared_ptr<Instance>> instances_;
-    std::map<int, std::vector<ExchangeEntry>> lists_;  // census, by its number
+    std::map<int, std::shared_ptr<Instance>> instances_;        // by router number
+    std::map<int, std::vector<ExchangeEntry>> exchange_lists_;  // of each census, by buffer number
 };
 
 }  // namespace nettlestall::wire
--- a/src/wire/main.cpp
+++ b/src/wire/main.cpp
@@ -1,3 +1,5 @@
+// nettlestall_wirehost: reads batches from standard input, one a line, and writes a reply to each on a line
+// of standard output. On bad input it writes one line to standard error and ends with exit code 1.
 #include <iostream>
 #include <string>
 
@@ -9,9 +11,9 @@
     std::string line;
     for (long number = 1; std::getline(std::cin, line); ++number) {
         try {
-            std::cout << host.reply(line) << '\n' << std::flush;
-        } catch (const std::exception& problem) {
-            std::cerr << "nettlestall_wirehost: line " << number << ": " << problem.what() << '\n';
+            std::cout << host.handle_batch(line) << '\n' << std::flush;
+        } catch (const std::exception& error) {
+            std::cerr << "nettlestall_wirehost: line " << number << ": " << error.what() << '\n';
             return 1;
         }
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Tests the translation between the simulator and call control.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -35,7 +36,7 @@
             {"disposition", "S"},
             {"exchange", name},
             {"lag_s", 0.0},
-            {"usage", {{"free", free}, {"size", 10}, {"can_take", -1}, {"unheard_of", 3}}}};
+            {"usage", {{"free", free}, {"size", 10}, {"can_take", -1}, {"unknown_key", 3}}}};
 }
 json demand(const char* id) {
     return {{"cmd", "demand"}, {"xid", id},      {"dest", 1},
@@ -44,29 +45,33 @@
 
 class Wire : public testing::Test {
    protected:
+    // The next batch, with these inputs by router number.
     json batch(std::vector<std::pair<int, json>> groups) {
         json b{{"ts_s", 100.0 + 0.01 * number}, {"n", number}, {"groups", json::array()}};
         for (auto& [router, input] : groups) b["groups"].push_back({{"router", router}, {"input", input}});
         ++number;
         return b;
     }
+    // Hands the next batch to the host and returns its reply.
     json play(std::vector<std::pair<int, json>> groups) {
-        return json::parse(host.reply(batch(groups).dump()));
+        return json::parse(host.handle_batch(batch(groups).dump()));
     }
-    std::string complaint(const std::string& line) {
+    // The error text for a line; empty if there is none.
+    std::string error_of(const std::string& line) {
         try {
-            host.reply(line);
-        } catch (const BadInput& problem) {
-            EXPECT_EQ(std::string(problem.what()).find('\n'), std::string::npos);
-            return problem.what();
+            host.handle_batch(line);
+        } catch (const BadInput& error) {
+            EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
+            return error.what();
         }
         return "";
     }
-    std::string complaint(const json& event) {
+    // The error text for an event to an instance that is in service.
+    std::string error_of(const json& event) {
         play({{0, {born(), census("a:1"), sync("cached")}}});
-        return complaint(batch({{0, json::array({event})}}).dump());
+        return error_of(batch({{0, json::array({event})}}).dump());
     }
-    // Where a call is assigned in a reply, by instance.
+    // The exchange that a call is assigned to in a reply, by router number.
     static std::map<int, std::string> assigned(const json& reply) {
         std::map<int, std::string> to;
         for (const json& group : reply.at("groups"))
@@ -78,11 +83,11 @@
     int number = 1;
 };
 
-TEST_F(Wire, AnEmptyBatchIsEchoed) {
+TEST_F(Wire, RepliesToAnEmptyBatchWithItsNumber) {
     EXPECT_EQ(play({}), json::parse(R"({"n":1,"groups":[]})"));
 }
 
-TEST_F(Wire, ACallIsAssignedWithItsIdAndATimeOut) {
+TEST_F(Wire, AssignsACallWithItsIdAndATimeOut) {
     play({{0, {born(), census("a:1"), sync("cached"), health("a:1", 10)}}});
     const json reply = play({{0, json::array({demand("id-1")})}});
     EXPECT_EQ(reply.at("n"), 2);
@@ -94,14 +99,14 @@
     EXPECT_EQ(action.size(), 4u);
 }
 
-TEST_F(Wire, ACensusServesAllInstancesInEventOrder) {
+TEST_F(Wire, ACensusAppliesToAllInstancesInEventOrder) {
     const json reply = play({{0, {census("a:1"), born(), sync("cached"), health("a:1", 10), demand("p")}},
                              {1, {born(6), sync("cached"), health("a:1", 10), demand("q")}},
                              {2, {born(7), census("b:1"), sync("full"), health("b:1", 10), demand("r")}}});
     EXPECT_EQ(assigned(reply), (std::map<int, std::string>{{0, "a:1"}, {1, "a:1"}, {2, "b:1"}}));
 }
 
-TEST_F(Wire, RetireAndBornInOneBatchForgetsAll) {
+TEST_F(Wire, RetireAndBornInOneBatchStartAnew) {
     play({{0, {born(), census("a:1"), sync("cached"), health("a:1", 10)}}});
     const json reply = play({{0,
                               {demand("old"),
@@ -115,10 +120,10 @@
     EXPECT_EQ(reply.dump().find("old"), std::string::npos);
 }
 
-TEST_F(Wire, OmittedFieldsAndUnknownKeysAreFine) {
+TEST_F(Wire, AcceptsOmittedFieldsAndUnknownKeys) {
     play({{0, {born(), census("a:1"), sync("cached"), health("a:1", 10)}}});
     json call = demand("id-1");
-    call["never_heard_of"] = {1, 2};
+    call["unknown_key"] = {1, 2};
     EXPECT_EQ(assigned(play({{0, json::array({call})}})).at(0), "a:1");
     play({{0,
            {{{"cmd", "flowing"}, {"xid", "id-1"}, {"n", 0}, {"exchange", "a:1"}},
@@ -134,28 +139,28 @@
             {{"cmd", "sync"}, {"kind", "failed"}}}}});
 }
 
-TEST_F(Wire, BadInputIsNamed) {
-    EXPECT_EQ(complaint(std::string("{")), "not JSON");
-    EXPECT_EQ(complaint(std::string("[]")), "a batch must be an object");
-    EXPECT_EQ(complaint(std::string(R"({"n":1,"groups":[]})")), "missing 'ts_s'");
-    EXPECT_EQ(complaint(batch({{4, json::array({demand("x")})}}).dump()),
+TEST_F(Wire, ErrorsNameTheBadInput) {
+    EXPECT_EQ(error_of(std::string("{")), "not JSON");
+    EXPECT_EQ(error_of(std::string("[]")), "a batch must be an object");
+    EXPECT_EQ(error_of(std::string(R"({"n":1,"groups":[]})")), "missing 'ts_s'");
+    EXPECT_EQ(error_of(batch({{4, json::array({demand("x")})}}).dump()),
               "router 4, event 0 (demand): no such instance was born");
-    EXPECT_EQ(complaint({{"cmd", "jump"}}), "router 0, event 0 (jump): unknown command 'jump'");
-    EXPECT_EQ(complaint({{"cmd", "expired"}}), "router 0, event 0 (expired): missing 'xid'");
-    EXPECT_EQ(complaint(sync("full", 9)), "router 0, event 0 (sync): unknown census number in 'buffer'");
+    EXPECT_EQ(error_of({{"cmd", "jump"}}), "router 0, event 0 (jump): unknown command 'jump'");
+    EXPECT_EQ(error_of({{"cmd", "expired"}}), "router 0, event 0 (expired): missing 'xid'");
+    EXPECT_EQ(error_of(sync("full", 9)), "router 0, event 0 (sync): unknown census number in 'buffer'");
     json call = demand("x");
     call["dest"] = "north";
-    EXPECT_EQ(complaint(call), "router 0, event 0 (demand): 'dest' must be a whole number");
+    EXPECT_EQ(error_of(call), "router 0, event 0 (demand): 'dest' must be a whole number");
     call = demand("x");
     call["category"] = "telex";
-    EXPECT_EQ(complaint(call), "router 0, event 0 (demand): unknown 'category' 'telex'");
+    EXPECT_EQ(error_of(call), "router 0, event 0 (demand): unknown 'category' 'telex'");
     call = demand("x");
     call.erase("grace_s");
-    EXPECT_EQ(complaint(call), "router 0, event 0 (demand): missing 'grace_s'");
-    EXPECT_EQ(complaint(json(7)), "router 0, event 0 (?): an event must be an object");
-    json nothing = born();
-    nothing["facts"].erase("grades");
-    EXPECT_EQ(complaint(nothing), "router 0, event 0 (born): missing 'grades'");
+    EXPECT_EQ(error_of(call), "router 0, event 0 (demand): missing 'grace_s'");
+    EXPECT_EQ(error_of(json(7)), "router 0, event 0 (?): an event must be an object");
+    json no_classes = born();
+    no_classes["facts"].erase("grades");
+    EXPECT_EQ(error_of(no_classes), "router 0, event 0 (born): missing 'grades'");
 }
 
 }  // namespace
--- a/tests/wirehost_bad_input.sh
+++ b/tests/wirehost_bad_input.sh
@@ -1,4 +1,6 @@
 #!/bin/sh
+# Checks bad input to the adapter, whose path is $1: it replies to the valid line, writes one line to standard
+# error for the bad one and ends with exit code 1.
 out=$(mktemp) && err=$(mktemp) || exit 1
 trap 'rm -f "$out" "$err"' EXIT
 printf '{"ts_s":1.0,"n":1,"groups":[]}\n{"ts_s":1.1\n' | "$1" >"$out" 2>"$err"
