--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -149,18 +149,18 @@
     g.exchange = text_of(node, "exchange");
     g.number = number_of<int>(node, "number");
     g.zone = text_of(node, "zone");
-    g.rules.ends = {own, number_of<int>(node, "far-point")};
+    g.rules.point_codes = {own, number_of<int>(node, "far-point")};
     g.rules.circuits = number_of<int>(node, "circuits");
     for_each_child(node, [&g](const xmlNode* part, const std::string& name) {
         if (name == "audit") {
-            g.rules.audit.on = is_true(part, "on");
-            g.rules.audit.every = time_of(part, "every-s");
-            g.rules.audit.patience = time_of(part, "patience-s");
+            g.rules.audit.enabled = is_true(part, "on");
+            g.rules.audit.interval = time_of(part, "every-s");
+            g.rules.audit.response_timeout = time_of(part, "patience-s");
             g.rules.audit.confirmations = number_of<int>(part, "confirmations");
         } else {
             g.rules.release_guard = time_of(part, "release-guard-s");
-            g.rules.reset_again = time_of(part, "reset-again-s");
-            g.rules.hold = time_of(part, "hold-s");
+            g.rules.reset_repeat_interval = time_of(part, "reset-again-s");
+            g.rules.link_down_hold = time_of(part, "hold-s");
         }
     });
     return g;
@@ -179,16 +179,17 @@
     void group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& g) {
         if (!once(groups_, std::to_string(g.id), node)) complain(node, "id", "is another group's");
         const bool dials = !text_of(node, "dial").empty();
-        if (g.rules.ends.own == g.rules.ends.far) complain(node, "far-point", "is this hub's own point");
-        if (g.rules.ends.own < g.rules.ends.far && !dials)
+        if (g.rules.point_codes.own == g.rules.point_codes.far)
+            complain(node, "far-point", "is this hub's own point");
+        if (g.rules.point_codes.own < g.rules.point_codes.far && !dials)
             complaints_.add(node, "attribute 'dial' is expected: the hub with the lower point code dials");
-        if (g.rules.ends.own > g.rules.ends.far && dials)
+        if (g.rules.point_codes.own > g.rules.point_codes.far && dials)
             complaints_.add(
                 node, "attribute 'dial' is not expected: the far hub has the lower point code and dials");
-        if (g.rules.ends.own > g.rules.ends.far && text_of(trunk, "listen").empty())
+        if (g.rules.point_codes.own > g.rules.point_codes.far && text_of(trunk, "listen").empty())
             complaints_.add(trunk, "attribute 'listen' is expected: the far hub of group " +
                                        std::to_string(g.id) + " dials this one");
-        if (g.rules.audit.patience > g.rules.audit.every)
+        if (g.rules.audit.response_timeout > g.rules.audit.interval)
             complaints_.add(node, "<audit>: 'patience-s' of at most 'every-s' is expected");
     }
 
@@ -206,10 +207,10 @@
 
 TrunkSettings read_trunk(const xmlNode* node, Complaints& complaints) {
     TrunkSettings t;
-    t.point = number_of<int>(node, "point");
-    t.number = number_of<int>(node, "number");
-    t.listen = text_of(node, "listen");
-    t.ledger = text_of(node, "ledger");
+    t.point_code = number_of<int>(node, "point");
+    t.exchange_number = number_of<int>(node, "number");
+    t.listen_address = text_of(node, "listen");
+    t.ledger_folder = text_of(node, "ledger");
     check_address(node, "listen", complaints);
     Relations relations(complaints);
     for_each_child(node, [&](const xmlNode* child, const std::string& name) {
@@ -220,12 +221,12 @@
             lines.entry.exchange = text_of(child, "exchange");
             lines.entry.number = number_of<int>(child, "number");
             lines.entry.zone = text_of(child, "zone");
-            lines.entry.lines_only = true;
+            lines.entry.never_tandem = true;
             lines.address = text_of(child, "address");
             return;
         }
         check_address(child, "dial", complaints);
-        t.groups.push_back({read_group(child, t.point), text_of(child, "dial")});
+        t.groups.push_back({read_group(child, t.point_code), text_of(child, "dial")});
         relations.group(child, node, t.groups.back().settings);
     });
     return t;
@@ -233,7 +234,7 @@
 
 }  // namespace
 
-OperatorFile read_operator_text(const std::string& text, const std::string& name) {
+OperatorFile parse_operator_file(const std::string& text, const std::string& name) {
     Complaints complaints(name);
     const Held<xmlDoc> document = parse(text, name, complaints);
     validate(document.get(), complaints);
@@ -251,15 +252,16 @@
     std::stringstream text;
     text << file.rdbuf();
     if (!file) throw json::BadInput(path + ": can't be read");
-    return read_operator_text(text.str(), path);
+    return parse_operator_file(text.str(), path);
 }
 
-std::string needs_restart(const OperatorFile& before, const OperatorFile& after) {
+std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after) {
     if (before.trunk.has_value() != after.trunk.has_value())
         return "<trunk> can come or go only with a restart";
     if (!before.trunk) return {};
     const TrunkSettings &a = *before.trunk, &b = *after.trunk;
-    if (a.point != b.point || a.number != b.number || a.listen != b.listen || a.ledger != b.ledger)
+    if (a.point_code != b.point_code || a.exchange_number != b.exchange_number ||
+        a.listen_address != b.listen_address || a.ledger_folder != b.ledger_folder)
         return "<trunk>: 'point', 'number', 'listen' and 'ledger' must be the same until a restart";
     const auto same_lines = [](const ListedExchange& x, const ListedExchange& y) {
         return x.entry.exchange == y.entry.exchange && x.entry.number == y.entry.number &&
@@ -270,8 +272,8 @@
     const auto same_group = [](const TrunkSettings::Group& x, const TrunkSettings::Group& y) {
         return x.settings.id == y.settings.id && x.settings.exchange == y.settings.exchange &&
                x.settings.number == y.settings.number &&
-               x.settings.rules.ends.far == y.settings.rules.ends.far &&
-               x.settings.rules.circuits == y.settings.rules.circuits && x.dial == y.dial;
+               x.settings.rules.point_codes.far == y.settings.rules.point_codes.far &&
+               x.settings.rules.circuits == y.settings.rules.circuits && x.dial_address == y.dial_address;
     };
     if (!std::equal(a.groups.begin(), a.groups.end(), b.groups.begin(), b.groups.end(), same_group))
         return "<group>: only <audit> and <times> can change without a restart";
--- a/src/net/servers.hpp
+++ b/src/net/switches.hpp
@@ -10,10 +10,10 @@
 
 namespace nettlestall::net {
 
-class Servers final : public Switches {
+class SwitchConnections final : public Switches {
    public:
-    Servers(asio::io_context& io, Duration connect_time_out, Counters& counters);
-    ~Servers();
+    SwitchConnections(asio::io_context& io, Duration connect_time_out, Counters& counters);
+    ~SwitchConnections();
 
     void report_to(SwitchEvents& events) { events_ = &events; }
     void list(const ListEvent& event);
@@ -21,8 +21,8 @@
     void stop();
     bool idle() const;  // all that was to be written has been
 
-    void set_up(const ExchangeId& at, const Forward& forward) override;
-    void give_up(const ExchangeId& at, const CallId& call) override;
+    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override;
+    void cancel(const ExchangeId& at, const CallId& call) override;
     void release(const ExchangeId& at, const CallId& call) override;
 
    private:
--- a/src/net/trunks.cpp
+++ b/src/net/trunk_links.cpp
@@ -1,4 +1,4 @@
-#include "net/trunks.hpp"
+#include "net/trunk_links.hpp"
 
 #include <algorithm>
 #include <array>
@@ -22,13 +22,13 @@
 }  // namespace
 
 // One connection of a group.
-class Trunks::Link : public std::enable_shared_from_this<Link> {
+class TrunkLinks::Link : public std::enable_shared_from_this<Link> {
    public:
-    Link(tcp::socket socket, trunk::Front::Trunk& of) : trunk(of), socket_(std::move(socket)) {
+    Link(tcp::socket socket, trunk::TrunkManager::Trunk& of) : trunk(of), socket_(std::move(socket)) {
         set_up_socket(socket_);
     }
 
-    trunk::Front::Trunk& trunk;
+    trunk::TrunkManager::Trunk& trunk;
     Clock::time_point heard = Clock::now();
 
     tcp::socket& socket() { return socket_; }
@@ -68,8 +68,8 @@
     bool writing_ = false, ending_ = false;
 };
 
-Trunks::Trunks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-               trunk::Front::Time time, Note note)
+TrunkLinks::TrunkLinks(asio::io_context& io, trunk::TrunkManager& front, std::optional<tcp::endpoint> listen,
+                       trunk::TrunkManager::Clock time, Note note)
     : io_(io),
       front_(front),
       time_(std::move(time)),
@@ -78,23 +78,23 @@
       acceptor_(io),
       alarm_(io),
       beat_(io) {
-    front_.on_output([this](trunk::Front::Trunk& trunk) { flush(trunk); });
+    front_.on_output([this](trunk::TrunkManager::Trunk& trunk) { flush(trunk); });
     front_.on_schedule([this](Instant at) { arm(at); });
 }
 
-Trunks::~Trunks() = default;
+TrunkLinks::~TrunkLinks() = default;
 
-void Trunks::dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
+void TrunkLinks::dial(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to) {
     dialled_.push_back({&trunk, to});
 }
 
-void Trunks::start() {
+void TrunkLinks::start() {
     if (listen_) spawn(io_, accept());
     for (const Dialled& dialled : dialled_) spawn(io_, keep_up(dialled));
     spawn(io_, beat());
 }
 
-void Trunks::stop() {
+void TrunkLinks::stop() {
     stopped_ = true;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
@@ -106,13 +106,13 @@
     }
 }
 
-bool Trunks::idle() const {
+bool TrunkLinks::idle() const {
     return std::all_of(links_.begin(), links_.end(), [](const auto& at) { return at.second->idle(); });
 }
 
 // ---- Connections -------------------------------------------------------------------------------------
 
-bool Trunks::listen() {
+bool TrunkLinks::listen() {
     acceptor_.open(listen_->protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     boost::system::error_code error;
@@ -125,7 +125,7 @@
     return true;
 }
 
-asio::awaitable<void> Trunks::accept() {
+asio::awaitable<void> TrunkLinks::accept() {
     asio::steady_timer pause(io_);
     for (bool told = false; !stopped_ && !listen(); told = true) {
         if (!told) note_("the trunk address is in use, it is tried again");
@@ -154,7 +154,7 @@
 
 // Reads until the far end has said which group it is of. Only then, and only if all agrees, does it take the
 // place of the connection that the group has: guards a link that works against whoever else connects.
-asio::awaitable<void> Trunks::greet(std::shared_ptr<tcp::socket> socket) {
+asio::awaitable<void> TrunkLinks::greet(std::shared_ptr<tcp::socket> socket) {
     asio::steady_timer limit(io_, kHello);
     limit.async_wait([held = std::weak_ptr(socket)](const boost::system::error_code& stopped) {
         boost::system::error_code ignored;
@@ -169,20 +169,20 @@
         if (error || stopped_ || !socket->is_open()) co_return;
         first.append(space.data(), bytes);
         trunk::FrameReader reader;
-        reader.fed(first);
+        reader.append(first);
         const auto next = reader.next(frame);
-        if (next == trunk::FrameReader::Next::frame) break;
-        if (next == trunk::FrameReader::Next::malformed || first.size() > kRead) co_return;
+        if (next == trunk::FrameReader::Status::complete) break;
+        if (next == trunk::FrameReader::Status::malformed || first.size() > kRead) co_return;
     }
     limit.cancel();
     const auto* hello = std::get_if<trunk::Hello>(&frame);
-    trunk::Front::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
+    trunk::TrunkManager::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
     std::string wrong = !hello   ? "no hello"
                         : !group ? "group " + std::to_string(hello->group) + " is not known here"
-                                 : group->session().wrong_with(*hello);
+                                 : group->session().find_mismatch(*hello);
     if (!wrong.empty()) {
         note_("trunk connection refused: " + wrong);
-        const std::string bye = trunk::write(trunk::Bye{wrong.substr(0, trunk::kLongestName)});
+        const std::string bye = trunk::encode(trunk::Bye{wrong.substr(0, trunk::kMaxTextBytes)});
         co_await asio::async_write(*socket, asio::buffer(bye), asio::as_tuple(asio::use_awaitable));
         co_return;
     }
@@ -191,7 +191,7 @@
     co_await converse(std::move(link), std::move(first));
 }
 
-asio::awaitable<void> Trunks::keep_up(Dialled dialled) {
+asio::awaitable<void> TrunkLinks::keep_up(Dialled dialled) {
     asio::steady_timer pause(io_);
     milliseconds wait = kFirstPause;
     while (!stopped_) {
@@ -200,11 +200,12 @@
         if (stopped_) co_return;
         if (!error) {
             const std::uint64_t before =
-                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew;
+                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted;
             co_await converse(std::make_shared<Link>(std::move(socket), *dialled.trunk), {});
             if (stopped_) co_return;
             // Guards against a far end that takes connections and closes each at once.
-            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew > before)
+            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted >
+                before)
                 wait = kFirstPause;
         }
         pause.expires_after(wait);
@@ -213,14 +214,14 @@
     }
 }
 
-asio::awaitable<void> Trunks::converse(std::shared_ptr<Link> link, std::string first) {
+asio::awaitable<void> TrunkLinks::converse(std::shared_ptr<Link> link, std::string first) {
     if (const auto before = links_.find(&link->trunk); before != links_.end())
         lose(before->second, "another connection takes its place");
     links_[&link->trunk] = link;
     link->trunk.connected();
     const auto take = [&](std::string_view bytes) {
-        if (link->trunk.fed(bytes)) return true;
-        lose(link, link->trunk.session().complaint());
+        if (link->trunk.receive_bytes(bytes)) return true;
+        lose(link, link->trunk.session().close_reason());
         return false;
     };
     if (!first.empty() && !take(first)) co_return;
@@ -239,7 +240,7 @@
     }
 }
 
-void Trunks::lose(const std::shared_ptr<Link>& link, const std::string& why) {
+void TrunkLinks::lose(const std::shared_ptr<Link>& link, const std::string& why) {
     const auto at = links_.find(&link->trunk);
     if (at == links_.end() || at->second != link) return;
     links_.erase(at);
@@ -250,13 +251,13 @@
     if (std::exchange(last_note_[&link->trunk], text) != text) note_(text);
 }
 
-void Trunks::flush(trunk::Front::Trunk& trunk) {
+void TrunkLinks::flush(trunk::TrunkManager::Trunk& trunk) {
     if (const auto at = links_.find(&trunk); at != links_.end()) at->second->send(trunk.take_output());
 }
 
 // ---- Time --------------------------------------------------------------------------------------------
 
-asio::awaitable<void> Trunks::beat() {
+asio::awaitable<void> TrunkLinks::beat() {
     while (!stopped_) {
         beat_.expires_after(kBeat);
         co_await beat_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -267,19 +268,19 @@
             if (Clock::now() - link->heard >= kSilence)
                 lose(link, "nothing heard for 3 s");
             else
-                link->trunk.beat();
+                link->trunk.send_heartbeat();
         }
     }
 }
 
-void Trunks::arm(Instant at) {
+void TrunkLinks::arm(Instant at) {
     if (stopped_ || at >= armed_) return;
     armed_ = at;
     alarm_.expires_after(std::max(Duration::zero(), at - time_()));
     alarm_.async_wait([this](const boost::system::error_code& stopped) {
         if (stopped || stopped_) return;
         armed_ = Instant::max();
-        front_.run_due();
+        front_.run_timers();
     });
 }
 
