--- a/src/calls/routes.hpp
+++ b/src/calls/routes.hpp
@@ -1,4 +1,4 @@
-// Who signals to which exchange: a front of its own, or else the carrier switches.
+// Chooses who signals to an exchange: the component registered for it, or else the carrier switches.
 #pragma once
 
 #include <map>
@@ -7,24 +7,36 @@
 
 namespace nettlestall::calls {
 
+// Passes each set-up, cancellation and release on to the component that signals to the exchange.
 class Routes final : public Switches {
    public:
-    explicit Routes(Switches& otherwise) : otherwise_(otherwise) {}
+    // `fallback` serves every exchange that has no route of its own. It has to outlive this object, and so do
+    // the components that are added.
+    explicit Routes(Switches& fallback) : fallback_(fallback) {}
 
-    void add_route(const ExchangeId& at, Switches& by) { by_.insert_or_assign(at, &by); }
-    bool has_route(const ExchangeId& at) const { return by_.count(at) > 0; }
+    // Routes the exchange to `target`, in place of any earlier route.
+    void add_route(const ExchangeId& exchange, Switches& target) {
+        routes_.insert_or_assign(exchange, &target);
+    }
+    bool has_route(const ExchangeId& exchange) const { return routes_.count(exchange) > 0; }
 
-    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override { to(at).set_up(at, forward); }
-    void cancel(const ExchangeId& at, const CallId& call) override { to(at).cancel(at, call); }
-    void release(const ExchangeId& at, const CallId& call) override { to(at).release(at, call); }
+    void set_up(const ExchangeId& exchange, const OutgoingSetUp& set_up) override {
+        target_of(exchange).set_up(exchange, set_up);
+    }
+    void cancel(const ExchangeId& exchange, const CallId& call) override {
+        target_of(exchange).cancel(exchange, call);
+    }
+    void release(const ExchangeId& exchange, const CallId& call) override {
+        target_of(exchange).release(exchange, call);
+    }
 
    private:
-    Switches& to(const ExchangeId& at) {
-        const auto by = by_.find(at);
-        return by == by_.end() ? otherwise_ : *by->second;
+    Switches& target_of(const ExchangeId& exchange) {
+        const auto route = routes_.find(exchange);
+        return route == routes_.end() ? fallback_ : *route->second;
     }
-    Switches& otherwise_;
-    std::map<ExchangeId, Switches*> by_;
+    Switches& fallback_;
+    std::map<ExchangeId, Switches*> routes_;
 };
 
 }  // namespace nettlestall::calls
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -1,5 +1,5 @@
-// What the call table and those who speak a protocol tell each other. Nothing here knows how it is written
-// on a connection: a second protocol offers the same calls and hears the same answers.
+// The interfaces between the call table and the code that speaks a signalling protocol. Nothing here depends
+// on how a message is encoded: a second protocol offers the same calls and receives the same answers.
 #pragma once
 
 #include <memory>
@@ -11,46 +11,60 @@
 
 namespace nettlestall {
 
-using Description = std::shared_ptr<const std::string>;  // of the media; passed on unchanged
+// The description of a call's media. It is passed on unchanged and shared, so that it is never copied.
+using Description = std::shared_ptr<const std::string>;
 
 // ---- Callers -------------------------------------------------------------------------------------
 
-struct SetUpRequest {  // a set-up, as views into the bytes that it came in
+// A set-up from a caller. Its texts are views into the bytes that it came in, and are valid only for as long
+// as the receiver's call runs.
+struct SetUpRequest {
     CallId call{};
-    std::string_view service_class{};
-    std::string_view number{};
+    std::string_view service_class{};  // by its name in the settings
+    std::string_view number{};         // the number called; may be empty
     std::string_view description{};
-    Duration time_left{};
-    int destination = kNowhere;
-    int width = 0;
-    int via = kNowhere;
+    Duration time_left{};        // until the caller must have its final answer
+    int destination = kNowhere;  // exchange number
+    int width = 0;               // circuits that the call takes on each trunk group
+    int via = kNowhere;          // exchange number: in transit the previous exchange, else the advised tandem
+    // In transit: it comes from another exchange. Was cut: it was answered before, was cut and is set up
+    // again. Redial: the caller has marked it as a repeated attempt.
     bool transit = false, was_cut = false, redial = false;
 };
 
-enum class ReleaseReason { refused, failed, ended, cut };  // what a release tells the caller
+// Why a call is released toward its caller: no circuit (the caller may dial again), a fault, the normal end
+// of an answered call, or an answered call that was cut.
+enum class ReleaseReason { refused, failed, ended, cut };
 
 // One connection of a caller, as the call table sees it.
 class CallerLink {
    public:
     struct Usage {
-        int open_set_ups = 0;    // set-ups that are owed a final answer there
-        int standing_calls = 0;  // calls that came on it
+        int open_set_ups = 0;    // set-ups on this connection that still need a final answer
+        int standing_calls = 0;  // answered calls that were set up on this connection
     };
-    Usage usage;  // kept by the call table
+    Usage usage;  // maintained by the call table
 
+    // Sends the caller the answer to its set-up, with the description that the carrier switch has given.
     virtual void answer(const CallId& call, Description description) = 0;
-    virtual void release(const CallId& call, ReleaseReason ending) = 0;
-    virtual std::string_view origin() const = 0;  // the same for all connections of one caller
+    // Sends the caller the release of a call: the final answer to a set-up, or the end of an answered call.
+    virtual void release(const CallId& call, ReleaseReason reason) = 0;
+    // Identifies the caller: all connections of one caller have the same origin.
+    virtual std::string_view origin() const = 0;
 
    protected:
     ~CallerLink() = default;
 };
 
+// Receives what callers send. The call table implements it.
 class CallerEvents {
    public:
-    virtual void on_set_up(CallerLink& link, const SetUpRequest& offer) = 0;
-    virtual void on_release(CallerLink& link, const CallId& call) = 0;  // given up, or over
-    virtual bool is_ready() = 0;                                        // what the front is told when it asks
+    virtual void on_set_up(CallerLink& link, const SetUpRequest& request) = 0;
+    // The caller cancels its set-up, or ends its answered call.
+    virtual void on_release(CallerLink& link, const CallId& call) = 0;
+    // The answer to a health check of the load balancer.
+    virtual bool is_ready() = 0;
+    // A connection can be used from the first call on until the second.
     virtual void on_caller_connected(CallerLink& link) = 0;
     virtual void on_caller_disconnected(CallerLink& link) = 0;
 
@@ -60,63 +74,78 @@
 
 // ---- Carrier switches ------------------------------------------------------------------------------
 
-struct OutgoingSetUp {  // a set-up on its way to a carrier switch
+// A set-up that is sent on to a carrier switch or to another hub.
+struct OutgoingSetUp {
     CallId call{};
     std::string service_class{};
     std::string number{};
     Description description{};
-    Duration time_limit{};
-    // For who signals on to a further hub; a carrier switch finds its way by the number.
-    int destination = kNowhere;
-    int width = 1;
+    Duration time_limit{};  // within which the answer must come
+    // Used only where the call goes on to another hub: a carrier switch routes by the number.
+    int destination = kNowhere;  // exchange number
+    int width = 1;               // circuits
     bool was_cut = false, redial = false;
 };
 
+// Sends set-ups and releases to carrier switches, each by the id of its exchange.
 class Switches {
    public:
-    virtual void set_up(const ExchangeId& at, const OutgoingSetUp& forward) = 0;
-    virtual void cancel(const ExchangeId& at, const CallId& call) = 0;   // before its answer
-    virtual void release(const ExchangeId& at, const CallId& call) = 0;  // after its answer
+    virtual void set_up(const ExchangeId& exchange, const OutgoingSetUp& set_up) = 0;
+    // Withdraws a set-up that has not been answered.
+    virtual void cancel(const ExchangeId& exchange, const CallId& call) = 0;
+    // Ends a call that has been answered.
+    virtual void release(const ExchangeId& exchange, const CallId& call) = 0;
 
    protected:
     ~Switches() = default;
 };
 
+// Receives what carrier switches send. The call table implements it.
 class SwitchEvents {
    public:
-    virtual void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) = 0;
-    virtual void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+    virtual void on_answer(const ExchangeId& exchange, const CallId& call, std::string_view description) = 0;
+    // An attempt has failed or an answered call has ended. `load` holds what the exchange reported with it.
+    virtual void on_call_ended(const ExchangeId& exchange, const CallId& call, Outcome outcome, Cause cause,
                                const LoadReport& load) = 0;
-    virtual void on_group_state(const ExchangeId& at, const LoadReport& load) = 0;
-    virtual void on_process_failed(const ExchangeId& at) = 0;  // its standing calls are cut
+    // The state of the circuits toward the exchange has changed.
+    virtual void on_group_state(const ExchangeId& exchange, const LoadReport& load) = 0;
+    // The exchange's process has died: its answered calls are cut.
+    virtual void on_process_failed(const ExchangeId& exchange) = 0;
 
    protected:
     ~SwitchEvents() = default;
 };
 
-// ---- The call table, looked into ----------------------------------------------------------------
+// ---- Queries to the call table ------------------------------------------------------------------
 
-// What a front asks of the call table, to compare it with what it holds for calls itself.
+// Lets the code that drives the trunk groups compare its own calls with those of the call table.
 class CallTable {
    public:
-    // Null: no such call. Empty: it is at no exchange just now.
+    // The exchange to which the call's set-up went or where the call was answered. Null: there is no such
+    // call. An empty id: the call has no attempt under way at present.
     virtual const ExchangeId* exchange_of(const CallId& call) const = 0;
+    // The origin of the connection that the call came on; empty if there is no such call.
     virtual std::string_view origin_of(const CallId& call) const = 0;
-    virtual std::vector<CallId> calls_at(const ExchangeId& at) const = 0;
+    // Calls with an attempt under way at the exchange, and calls answered there.
+    virtual std::vector<CallId> calls_at(const ExchangeId& exchange) const = 0;
+    // Calls that came on the connection.
     virtual std::vector<CallId> calls_from(const CallerLink& link) const = 0;
 
    protected:
     ~CallTable() = default;
 };
 
-// ---- The process that takes over --------------------------------------------------------------------
+// ---- The successor process --------------------------------------------------------------------
 
-// Calls that stand are its own, whichever process they were set up by.
+// The process that takes over in an upgrade. It owns all standing calls, whichever process set them up, so
+// everything about them is passed on to it.
 class Successor {
    public:
-    virtual void hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) = 0;
-    virtual void hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) = 0;
-    virtual void hand_over_release(const CallId& call) = 0;  // by its caller
+    virtual void hand_over_call(const ExchangeId& exchange, const CallId& call, std::string_view origin) = 0;
+    // A call that the successor owns has ended at its exchange.
+    virtual void hand_over_end(const ExchangeId& exchange, const CallId& call, Outcome outcome) = 0;
+    // A call that the successor owns was released by its caller.
+    virtual void hand_over_release(const CallId& call) = 0;
 
    protected:
     ~Successor() = default;
@@ -126,12 +155,13 @@
 
 struct ListedExchange {
     ExchangeEntry entry;
-    std::string address;
+    std::string address;  // of its carrier switch: address:port; may be empty for an exchange that has gone
 };
 
+// One numbered event of the control feed.
 struct ListEvent {
     std::int64_t number = 0;
-    bool has_list = false;  // else only the number
+    bool has_list = false;  // false: the event carries only its number, the fields below are unused
     ListKind kind = ListKind::changes;
     std::int64_t version = 0;
     std::vector<ListedExchange> entries;
--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -1,4 +1,4 @@
-// What the gatekeeper took in, sent and answered.
+// Counts of everything that the gatekeeper has received, sent and answered.
 #pragma once
 
 #include <cstdint>
@@ -6,24 +6,84 @@
 
 namespace nettlestall {
 
+// All counts run from the start of the process. Each is written to the log under its own name.
 struct Counters {
-    std::uint64_t set_ups = 0, transit = 0, redials = 0, repeated = 0;                // taken in
-    std::uint64_t answered = 0, refused = 0, failed = 0, abandoned = 0, overdue = 0;  // their final answers
-    std::uint64_t attempts = 0, held_back = 0, timed_out = 0, cancelled = 0;          // to carrier switches
-    std::uint64_t stood = 0, turned_back = 0, errors = 0, reset = 0, unreachable = 0, moot = 0;
-    std::uint64_t ended = 0, cut = 0, released = 0, crossed = 0;  // standing calls; answers that came late
-    std::uint64_t group_states = 0, list_events = 0, tests = 0, ignored = 0, malformed = 0;
-    std::uint64_t client_connections = 0, client_connections_turned_away = 0, overflowed = 0;
-    std::uint64_t client_connections_displaced = 0, client_connections_overdue = 0;
-    std::uint64_t client_connections_sent_away = 0, drains = 0;
-    std::uint64_t handovers_taken = 0, handovers_given = 0, handovers_taken_back = 0;  // upgrades
-    std::uint64_t client_connections_passed_on = 0, client_connections_taken_over = 0, calls_taken_over = 0;
-    std::uint64_t reloads = 0, reloads_refused = 0;  // of the configuration, on SIGHUP
-    std::uint64_t set_ups_written = 0;               // attempts whose last byte went to a carrier switch
-    std::uint64_t operator_calls = 0, operator_calls_answered = 0, operator_calls_displaced = 0;
-    std::uint64_t switch_connections = 0, switch_connections_lost = 0, feed_connections = 0;
+    // Set-ups from callers.
+    std::uint64_t set_ups = 0;   // with a new id
+    std::uint64_t transit = 0;   // of these: in transit
+    std::uint64_t redials = 0;   // of these: marked as redials
+    std::uint64_t repeated = 0;  // with the id of a call that is in the table already; not in set_ups
+
+    // Final answers to callers.
+    std::uint64_t answered = 0;   // the call was answered
+    std::uint64_t refused = 0;    // no circuit: the caller may dial again
+    std::uint64_t failed = 0;     // a fault, or a set-up that makes no sense
+    std::uint64_t abandoned = 0;  // none was needed: the caller cancelled or its connection closed
+    std::uint64_t overdue = 0;    // failed by the timer that guards the time limit; not in failed
+
+    // Attempts at carrier switches.
+    std::uint64_t attempts = 0;   // set-ups sent
+    std::uint64_t held_back = 0;  // set-ups that the decision module asked for and that were not allowed
+    std::uint64_t timed_out = 0;  // no answer within the time limit
+    std::uint64_t cancelled = 0;  // cancelled by the decision module
+
+    // Outcomes of attempts.
+    std::uint64_t stood = 0;        // answered: the call became a standing call
+    std::uint64_t turned_back = 0;  // rejected for want of a circuit or of processor capacity
+    std::uint64_t errors = 0;       // rejected for any other reason
+    std::uint64_t reset = 0;        // the connection broke, or the call ended and its answer had been lost
+    std::uint64_t unreachable = 0;  // there was no connection to the carrier switch
+    std::uint64_t moot = 0;         // the switch discarded the set-up since its time limit had passed
+
+    // Standing calls (answered and not yet over).
+    std::uint64_t ended = 0;     // ended in the normal way, by either side
+    std::uint64_t cut = 0;       // ended by a fault
+    std::uint64_t released = 0;  // of those ended: by the caller
+    std::uint64_t crossed = 0;   // answers to cancelled set-ups; the switch was sent a release
+
+    // Other messages.
+    std::uint64_t group_states = 0;  // reports on the circuits toward an exchange
+    std::uint64_t list_events = 0;   // events of the control feed
+    std::uint64_t tests = 0;         // health checks on callers' connections
+    std::uint64_t ignored = 0;       // messages without effect
+    std::uint64_t malformed = 0;     // messages that could not be read; the connection was closed
+
+    // Connections of callers.
+    std::uint64_t client_connections = 0;              // accepted
+    std::uint64_t client_connections_turned_away = 0;  // closed at once, for lack of room
+    std::uint64_t overflowed = 0;  // any connection: closed because the far end reads too slowly
+    std::uint64_t client_connections_displaced = 0;  // closed to make room for another caller's connection
+    std::uint64_t client_connections_overdue = 0;    // closed: no whole message in time
+    std::uint64_t client_connections_sent_away = 0;  // closed because of a drain
+    std::uint64_t drains = 0;                        // commands to drain
+
+    // Upgrades.
+    std::uint64_t handovers_taken = 0;                // taken over from a predecessor process
+    std::uint64_t handovers_given = 0;                // handed over to a successor process
+    std::uint64_t handovers_taken_back = 0;           // of these: taken back, since the successor had gone
+    std::uint64_t client_connections_passed_on = 0;   // callers' connections passed on to the successor
+    std::uint64_t client_connections_taken_over = 0;  // callers' connections received from the predecessor
+    std::uint64_t calls_taken_over = 0;               // standing calls, also those from the circuit ledger
+
+    // Reloads of the configuration, on SIGHUP.
+    std::uint64_t reloads = 0;          // applied
+    std::uint64_t reloads_refused = 0;  // not applied
+
+    // Attempts whose last byte was written to a carrier switch's connection.
+    std::uint64_t set_ups_written = 0;
+
+    // Operators' HTTP connections.
+    std::uint64_t operator_calls = 0;            // accepted
+    std::uint64_t operator_calls_answered = 0;   // with a reply that was sent
+    std::uint64_t operator_calls_displaced = 0;  // closed to make room for a newer one
+
+    // Connections that this process opens.
+    std::uint64_t switch_connections = 0;       // to carrier switches
+    std::uint64_t switch_connections_lost = 0;  // of these: ended by the far end or by a fault
+    std::uint64_t feed_connections = 0;         // to the control feed
 };
 
+// Calls f(name, count) for each counter, in the order of the line in the log.
 template <class F>
 void for_each(const Counters& c, F&& f) {
     f("set_ups", c.set_ups), f("transit", c.transit), f("redials", c.redials), f("repeated", c.repeated);
@@ -52,6 +112,7 @@
     f("switch_connections_lost", c.switch_connections_lost), f("feed_connections", c.feed_connections);
 }
 
+// Writes the line for the log: `counters` and name=value for each counter.
 inline std::ostream& operator<<(std::ostream& out, const Counters& counters) {
     out << "counters";
     for_each(counters, [&out](const char* name, std::uint64_t count) { out << ' ' << name << '=' << count; });
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -6,16 +6,18 @@
 namespace nettlestall::protocol {
 namespace {
 
-constexpr std::int64_t kLongestPatienceMs = 3'600'000;
-constexpr std::size_t kSpare = 16;  // bytes: the length, and a patience in more digits
+constexpr std::int64_t kMaxTimeLeftMs = 3'600'000;  // a caller that claims to wait longer is held to this
+// By how much a set-up may grow when it is sent on: its length, and a time left that has more digits.
+constexpr std::size_t kForwardingMarginBytes = 16;
 
-int small(std::optional<std::int64_t> value, int otherwise) {
-    if (!value || *value < -1 || *value > std::numeric_limits<int>::max()) return otherwise;
+// `value` if it is an exchange number or a count, or -1; else `fallback`.
+int int_or(std::optional<std::int64_t> value, int fallback) {
+    if (!value || *value < -1 || *value > std::numeric_limits<int>::max()) return fallback;
     return static_cast<int>(*value);
 }
 
-std::uint8_t cause_of(ReleaseReason ending) {
-    switch (ending) {
+std::uint8_t cause_of(ReleaseReason reason) {
+    switch (reason) {
         case ReleaseReason::refused:
             return cause::kNoCircuit;
         case ReleaseReason::failed:
@@ -31,83 +33,85 @@
 }  // namespace
 
 bool CallerSession::consume(std::size_t bytes) {
-    const bool well_formed = inbox_.consume(bytes, [this](const Message& message) { return take(message); });
+    const bool well_formed =
+        reader_.consume(bytes, [this](const Message& message) { return handle_message(message); });
     if (!well_formed) ++counters_.malformed;
     return well_formed;
 }
 
-bool CallerSession::resume(bool has_asked, std::string_view begun) {
-    asked_ = has_asked;
-    while (!begun.empty()) {
-        const std::span<char> room = read_buffer();
-        const std::size_t part = std::min(room.size(), begun.size());
-        std::copy_n(begun.data(), part, room.data());
-        begun.remove_prefix(part);
+bool CallerSession::resume(bool has_sent_request, std::string_view partial_message) {
+    has_sent_request_ = has_sent_request;
+    while (!partial_message.empty()) {
+        const std::span<char> buffer = read_buffer();
+        const std::size_t part = std::min(buffer.size(), partial_message.size());
+        std::copy_n(partial_message.data(), part, buffer.data());
+        partial_message.remove_prefix(part);
         if (!consume(part)) return false;
     }
     return true;
 }
 
-bool CallerSession::take(const Message& message) {
+bool CallerSession::handle_message(const Message& message) {
     switch (message.type) {
         case MessageType::set_up:
-            asked_ = true;
-            return offer(message);
+            has_sent_request_ = true;
+            return handle_set_up(message);
         case MessageType::release:
-            asked_ = true;
-            // The release heard goes first: it belongs to nobody's call table.
-            out_.send(FrameBuilder(MessageType::release_complete, message.call()).build());
+            has_sent_request_ = true;
+            // Confirmed before the call table acts on it: the confirmation doesn't depend on the call's
+            // state.
+            output_.send(FrameBuilder(MessageType::release_complete, message.call()).build());
             events_.on_release(*this, message.call());
             return true;
         case MessageType::health_check:
-            asked_ = true;
+            has_sent_request_ = true;
             ++counters_.tests;
-            out_.send(FrameBuilder(MessageType::health_check_result, message.call())
-                          .cause(events_.is_ready())
-                          .build());
+            output_.send(FrameBuilder(MessageType::health_check_result, message.call())
+                             .cause(events_.is_ready())
+                             .build());
             return true;
         case MessageType::progress:
         case MessageType::release_complete:
             ++counters_.ignored;
             return true;
-        default:  // noise, or an endless stream of what means nothing here
+        default:  // not a message from a caller; accepting it would allow an endless stream of noise
             return false;
     }
 }
 
-bool CallerSession::offer(const Message& message) {
-    // No call has the id nought: a carrier switch closes the connection on which it comes, with all set-ups
-    // of others that are open there.
+bool CallerSession::handle_set_up(const Message& message) {
+    // Zero is not a valid call id. It must not be sent on: a carrier switch closes the connection on which it
+    // comes, and with it all set-ups of other callers that are open there.
     if (!message.has_call_id()) return false;
-    // Nor is there a way on for what is longer, once the patience is written anew, than a message may be.
-    if (kHeaderBytes + message.parameters.size() + kSpare > kMaxMessageBytes) return false;
-    SetUpRequest offer;
-    offer.call = message.call();
-    offer.service_class = message.text(ParameterCode::service_class);
-    offer.number = message.text(ParameterCode::number);
-    offer.description = message.text(ParameterCode::description);
-    offer.redial = message.text(ParameterCode::redial) == "1";
-    const auto patience = to_integer(message.text(ParameterCode::time_left)).value_or(0);
-    offer.time_left = std::chrono::milliseconds(std::clamp<std::int64_t>(patience, 0, kLongestPatienceMs));
+    // The set-up that is sent on has another time left and may be longer, but must not exceed a message.
+    if (kHeaderBytes + message.parameters.size() + kForwardingMarginBytes > kMaxMessageBytes) return false;
+    SetUpRequest request;
+    request.call = message.call();
+    request.service_class = message.text(ParameterCode::service_class);
+    request.number = message.text(ParameterCode::number);
+    request.description = message.text(ParameterCode::description);
+    request.redial = message.text(ParameterCode::redial) == "1";
+    const auto time_left_ms = to_integer(message.text(ParameterCode::time_left)).value_or(0);
+    request.time_left = std::chrono::milliseconds(std::clamp<std::int64_t>(time_left_ms, 0, kMaxTimeLeftMs));
     for_each_attribute(message.text(ParameterCode::attributes),
-                       [&offer](std::string_view name, std::string_view value) {
-                           const auto whole = to_integer(value);
-                           if (name == "dest") offer.destination = small(whole, kNowhere);
-                           if (name == "width") offer.width = small(whole, 0);
-                           if (name == "via") offer.via = small(whole, kNowhere);
-                           if (name == "transit") offer.transit = whole == 1;
-                           if (name == "again") offer.was_cut = whole == 1;
+                       [&request](std::string_view name, std::string_view value) {
+                           const auto integer = to_integer(value);
+                           if (name == "dest") request.destination = int_or(integer, kNowhere);
+                           if (name == "width") request.width = int_or(integer, 0);
+                           if (name == "via") request.via = int_or(integer, kNowhere);
+                           if (name == "transit") request.transit = integer == 1;
+                           if (name == "again") request.was_cut = integer == 1;
                        });
-    events_.on_set_up(*this, offer);
+    events_.on_set_up(*this, request);
     return true;
 }
 
 void CallerSession::answer(const CallId& call, Description description) {
-    out_.send(FrameBuilder(MessageType::answer, call).build(std::move(description)));
+    output_.send(FrameBuilder(MessageType::answer, call).build(std::move(description)));
 }
 
-void CallerSession::release(const CallId& call, ReleaseReason ending) {
-    out_.send(FrameBuilder(MessageType::release, call).cause(cause_of(ending)).build());
+void CallerSession::release(const CallId& call, ReleaseReason reason) {
+    output_.send(FrameBuilder(MessageType::release, call).cause(cause_of(reason)).build());
 }
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/callers.hpp
+++ b/src/protocol/callers.hpp
@@ -1,5 +1,5 @@
-// The caller's side of the binary protocol: a connection's bytes in, events to the call table, and the call
-// table's answers as messages. Knows no socket.
+// The caller's side of the binary protocol: turns a connection's bytes into events for the call table, and
+// the call table's answers into messages. It does no I/O of its own.
 #pragma once
 
 #include "calls/signals.hpp"
@@ -8,9 +8,10 @@
 
 namespace nettlestall::protocol {
 
+// One connection of a caller.
 class CallerSession final : public CallerLink {
    public:
-    // Where messages to the caller go.
+    // Where messages to the caller are sent.
     class Output {
        public:
         virtual void send(Frame frame) = 0;
@@ -19,36 +20,41 @@
         ~Output() = default;
     };
 
-    CallerSession(CallerEvents& events, Output& out, Counters& counters, std::string origin = {})
-        : events_(events), out_(out), counters_(counters), origin_(std::move(origin)) {}
+    // `events`, `output` and `counters` have to outlive the session. `origin` identifies the caller.
+    CallerSession(CallerEvents& events, Output& output, Counters& counters, std::string origin = {})
+        : events_(events), output_(output), counters_(counters), origin_(std::move(origin)) {}
 
-    std::span<char> read_buffer() { return inbox_.read_buffer(); }
-    // Takes what was read into space(). False: malformed, the connection is to be closed.
+    // Where the next bytes of the connection are to be read into.
+    std::span<char> read_buffer() { return reader_.read_buffer(); }
+    // Handles `bytes` bytes that were read into read_buffer(). False: they are malformed and the connection
+    // is to be closed.
     bool consume(std::size_t bytes);
 
-    std::string_view partial_message() const {
-        return inbox_.partial_message();
-    }  // of a message that has no end yet
-    // Goes on where another session stopped, on the same connection.
-    bool resume(bool has_asked, std::string_view begun);
-    bool has_sent_request() const { return asked_; }  // for anything that has an answer
-    bool has_partial_message() const { return inbox_.has_partial_message(); }
-    std::uint64_t whole_messages() const { return inbox_.whole_messages(); }
+    // The bytes of a message that has not yet come to its end.
+    std::string_view partial_message() const { return reader_.partial_message(); }
+    // Continues where the session of another process stopped on the same connection, with that session's
+    // has_sent_request() and partial_message(). False: the bytes are malformed.
+    bool resume(bool has_sent_request, std::string_view partial_message);
+    // Whether the caller has sent any message that gets an answer.
+    bool has_sent_request() const { return has_sent_request_; }
+    bool has_partial_message() const { return reader_.has_partial_message(); }
+    std::uint64_t whole_messages() const { return reader_.whole_messages(); }
 
     void answer(const CallId& call, Description description) override;
-    void release(const CallId& call, ReleaseReason ending) override;
+    void release(const CallId& call, ReleaseReason reason) override;
     std::string_view origin() const override { return origin_; }
 
    private:
-    bool take(const Message& message);  // false: malformed
-    bool offer(const Message& message);
+    // Both return false if the message is malformed.
+    bool handle_message(const Message& message);
+    bool handle_set_up(const Message& message);
 
     CallerEvents& events_;
-    Output& out_;
+    Output& output_;
     Counters& counters_;
     std::string origin_;
-    MessageReader inbox_;
-    bool asked_ = false;
+    MessageReader reader_;
+    bool has_sent_request_ = false;
 };
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -9,29 +9,31 @@
 namespace nettlestall::protocol {
 namespace {
 
-constexpr std::size_t kRoom = 4 * 1024;  // of a connection at rest: a dozen usual messages
+// The buffer of a connection with no long message under way. It holds a dozen usual messages.
+constexpr std::size_t kBufferBytes = 4 * 1024;
 
-std::size_t big_endian(const char* at) {
+std::size_t read_big_endian(const char* at) {
     return static_cast<std::size_t>(static_cast<unsigned char>(at[0])) << 8 |
            static_cast<unsigned char>(at[1]);
 }
 
-void put_big_endian(std::string& to, std::size_t at, std::size_t value) {
+void write_big_endian(std::string& to, std::size_t at, std::size_t value) {
     to[at] = static_cast<char>(value >> 8);
     to[at + 1] = static_cast<char>(value & 0xFF);
 }
 
-// Whether the parameters follow one another up to the message's last byte.
-bool whole(std::string_view parameters) {
+// Whether the parameters are complete and the last one ends with the message's last byte.
+bool is_well_formed(std::string_view parameters) {
     while (!parameters.empty()) {
         if (parameters.size() < kParameterHeaderBytes) return false;
-        const std::size_t length = kParameterHeaderBytes + big_endian(parameters.data() + 1);
+        const std::size_t length = kParameterHeaderBytes + read_big_endian(parameters.data() + 1);
         if (parameters.size() < length) return false;
         parameters.remove_prefix(length);
     }
     return true;
 }
 
+// Zero for anything that is not a hex digit.
 int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -42,7 +44,7 @@
 
 std::optional<std::string_view> Message::find(ParameterCode code) const {
     for (std::string_view rest = parameters; !rest.empty();) {
-        const std::size_t length = big_endian(rest.data() + 1);
+        const std::size_t length = read_big_endian(rest.data() + 1);
         if (static_cast<std::uint8_t>(rest[0]) == static_cast<std::uint8_t>(code))
             return rest.substr(kParameterHeaderBytes, length);
         rest.remove_prefix(kParameterHeaderBytes + length);
@@ -70,12 +72,13 @@
         end_ -= begin_;
         begin_ = 0;
     }
-    // Room for the whole message that has begun, whose length next() has judged; given back when it is taken.
-    const std::size_t begun = end_ < kLengthBytes ? 0 : kLengthBytes + big_endian(bytes_.data());
-    const std::size_t room = std::max(kRoom, begun);
-    if (bytes_.size() < room) bytes_.resize(room);
-    if (bytes_.size() > room) {
-        bytes_.resize(room);
+    // Makes room for all of the message that has begun, whose length next() has checked. The memory is freed
+    // once that message was taken.
+    const std::size_t message_bytes = end_ < kLengthBytes ? 0 : kLengthBytes + read_big_endian(bytes_.data());
+    const std::size_t buffer_bytes = std::max(kBufferBytes, message_bytes);
+    if (bytes_.size() < buffer_bytes) bytes_.resize(buffer_bytes);
+    if (bytes_.size() > buffer_bytes) {
+        bytes_.resize(buffer_bytes);
         bytes_.shrink_to_fit();
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
@@ -86,36 +89,36 @@
 }
 
 MessageReader::Result MessageReader::next(Message& message) {
-    const std::size_t held = end_ - begin_;
-    if (held < kLengthBytes) return Result::incomplete;
+    const std::size_t available = end_ - begin_;
+    if (available < kLengthBytes) return Result::incomplete;
     const char* at = bytes_.data() + begin_;
-    const std::size_t length = big_endian(at);
-    // Judged by the length alone: a peer that announces too much must not be waited for.
+    const std::size_t length = read_big_endian(at);
+    // Checked before the rest has come: a far end that announces too long a message must not be waited for.
     if (length < kHeaderBytes || length + kLengthBytes > kMaxMessageBytes) return Result::malformed;
-    if (held < kLengthBytes + length) return Result::incomplete;
+    if (available < kLengthBytes + length) return Result::incomplete;
     const std::string_view body(at + kLengthBytes, length);
     message.type = static_cast<MessageType>(static_cast<std::uint8_t>(body[0]));
     message.id = body.substr(1, kIdBytes);
     message.parameters = body.substr(kHeaderBytes);
-    if (!whole(message.parameters)) return Result::malformed;
+    if (!is_well_formed(message.parameters)) return Result::malformed;
     begin_ += kLengthBytes + length;
     ++whole_messages_;
     return Result::message;
 }
 
-FrameBuilder::FrameBuilder(MessageType type, const CallId& call) : head_(kLengthBytes, '\0') {
-    head_ += static_cast<char>(type);
+FrameBuilder::FrameBuilder(MessageType type, const CallId& call) : header_(kLengthBytes, '\0') {
+    header_ += static_cast<char>(type);
     for (std::size_t i = 0; i < kIdBytes; ++i) {
-        const bool there = 2 * i + 1 < call.size();
-        head_ += static_cast<char>(there ? hex_digit(call[2 * i]) * 16 + hex_digit(call[2 * i + 1]) : 0);
+        const bool is_given = 2 * i + 1 < call.size();
+        header_ += static_cast<char>(is_given ? hex_digit(call[2 * i]) * 16 + hex_digit(call[2 * i + 1]) : 0);
     }
 }
 
 FrameBuilder& FrameBuilder::text(ParameterCode code, std::string_view value) {
-    const std::size_t at = head_.size();
-    head_.append(kParameterHeaderBytes, static_cast<char>(code));
-    put_big_endian(head_, at + 1, value.size());
-    head_.append(value);
+    const std::size_t at = header_.size();
+    header_.append(kParameterHeaderBytes, static_cast<char>(code));
+    write_big_endian(header_, at + 1, value.size());
+    header_.append(value);
     return *this;
 }
 
@@ -125,20 +128,20 @@
 }
 
 Frame FrameBuilder::build() {
-    return close(nullptr);
+    return finish(nullptr);
 }
 
 Frame FrameBuilder::build(std::shared_ptr<const std::string> description) {
-    if (!description) return close(nullptr);
-    const std::size_t at = head_.size();
-    head_.append(kParameterHeaderBytes, static_cast<char>(ParameterCode::description));
-    put_big_endian(head_, at + 1, description->size());
-    return close(std::move(description));
+    if (!description) return finish(nullptr);
+    const std::size_t at = header_.size();
+    header_.append(kParameterHeaderBytes, static_cast<char>(ParameterCode::description));
+    write_big_endian(header_, at + 1, description->size());
+    return finish(std::move(description));
 }
 
-Frame FrameBuilder::close(std::shared_ptr<const std::string> tail) {
-    Frame frame{.header = std::move(head_), .description = std::move(tail)};
-    put_big_endian(frame.header, 0, frame.size() - kLengthBytes);
+Frame FrameBuilder::finish(std::shared_ptr<const std::string> description) {
+    Frame frame{.header = std::move(header_), .description = std::move(description)};
+    write_big_endian(frame.header, 0, frame.size() - kLengthBytes);
     return frame;
 }
 
--- a/src/protocol/feed.hpp
+++ b/src/protocol/feed.hpp
@@ -1,4 +1,5 @@
-// The control feed: lines of JSON in, numbered changes to the list of carrier switches out.
+// The control feed: reads lines of JSON, each with a numbered change to the list of carrier switches. It does
+// no I/O of its own.
 #pragma once
 
 #include <cstdint>
@@ -13,39 +14,46 @@
 
 namespace nettlestall::protocol {
 
-// One numbered event, as on the feed and in the configuration. Throws json::BadInput.
+// Reads one numbered event, as on the feed and in the configuration. Throws json::BadInput.
 ListEvent read_list_event(const json::Value& event);
 ListEvent read_list_event(std::string_view line);
-// The line from which the same event is read.
+// The line from which read_list_event() reads the same event, without a line feed.
 std::string write_list_event(const ListEvent& event);
 
+// Follows the feed over one connection after another and skips events that it has handled before.
 class FeedSession {
    public:
     using ListHandler = std::function<void(const ListEvent&)>;
 
-    // `last` is the number of the last event that is known already; no line is longer than `longest`.
-    FeedSession(std::int64_t last, ListHandler take, std::size_t longest = 256 * 1024)
-        : take_(std::move(take)), last_(last), longest_(longest) {}
-    void set_max_line_bytes(std::size_t longest) { longest_ = longest; }
+    // `handler` gets each new event that has a list. `last_number` is the number of the last event that is
+    // known already. A line of more than `max_line_bytes` is malformed.
+    FeedSession(std::int64_t last_number, ListHandler handler, std::size_t max_line_bytes = 256 * 1024)
+        : handler_(std::move(handler)), last_number_(last_number), max_line_bytes_(max_line_bytes) {}
+    void set_max_line_bytes(std::size_t max_line_bytes) { max_line_bytes_ = max_line_bytes; }
 
-    std::int64_t last_number() const { return last_; }
+    // The number of the last event that was handled.
+    std::int64_t last_number() const { return last_number_; }
     std::uint64_t whole_lines() const { return whole_lines_; }
-    std::string subscribe();  // the line to write on a new connection; what was read by halves is forgotten
+    // Starts on a new connection: returns the line to be written first, and drops a line of the previous
+    // connection that had no end yet.
+    std::string subscribe();
+    // Where the next bytes of the connection are to be read into.
     std::span<char> read_buffer();
-    // Takes what was read into space(). False: malformed, the connection is to be closed.
+    // Handles `bytes` bytes that were read into read_buffer(). False: they are malformed and the connection
+    // is to be closed.
     bool consume(std::size_t bytes);
-    // What another source has told, up to number `last`.
-    void catch_up(std::int64_t last, const std::vector<ListEvent>& events);
+    // Handles the events of another source, which has handled all events up to `last_number`.
+    void catch_up(std::int64_t last_number, const std::vector<ListEvent>& events);
 
    private:
-    void take(const ListEvent& event);
-    bool line(std::string_view text);
+    void handle_event(const ListEvent& event);
+    bool handle_line(std::string_view text);  // false: malformed
 
-    ListHandler take_;
-    std::int64_t last_;
-    std::size_t longest_;
+    ListHandler handler_;
+    std::int64_t last_number_;
+    std::size_t max_line_bytes_;
     std::vector<char> bytes_;
-    std::size_t end_ = 0;
+    std::size_t end_ = 0;  // of the bytes of a line that has no end yet
     std::uint64_t whole_lines_ = 0;
 };
 
--- a/src/protocol/handover.cpp
+++ b/src/protocol/handover.cpp
@@ -5,12 +5,12 @@
 namespace nettlestall::protocol {
 namespace {
 
-constexpr std::size_t kRead = 16 * 1024;
-constexpr std::size_t kLengthBytes32 = 4;
+constexpr std::size_t kReadBytes = 16 * 1024;  // buffer space for each read
+constexpr std::size_t kLengthFieldBytes = 4;
 constexpr const char* kName = "nettlestall";
 constexpr const char* kVersion = "1";
 
-std::size_t parts_of(HandoverKind kind) {
+std::size_t part_count(HandoverKind kind) {
     switch (kind) {
         case HandoverKind::hello:
         case HandoverKind::caller_connection:
@@ -34,31 +34,31 @@
            kind <= static_cast<std::uint8_t>(HandoverKind::call_released);
 }
 
-void put(std::string& to, std::size_t length) {
+void write_length(std::string& to, std::size_t length) {
     for (int shift = 24; shift >= 0; shift -= 8) to += static_cast<char>(length >> shift & 0xFF);
 }
 
-std::size_t take_length(std::string_view& from) {
+// Takes a length off the front of `from`, which has to hold one.
+std::size_t read_length(std::string_view& from) {
     std::size_t length = 0;
-    for (std::size_t i = 0; i < kLengthBytes32; ++i)
-        length = length << 8 | static_cast<unsigned char>(from[i]);
-    from.remove_prefix(kLengthBytes32);
+    for (std::size_t i = 0; i < kLengthFieldBytes; ++i) length = length << 8 | static_cast<unsigned char>(from[i]);
+    from.remove_prefix(kLengthFieldBytes);
     return length;
 }
 
-// One message without its length.
-std::optional<HandoverMessage> read(std::string_view body) {
+// Reads one message, which is given without its length. std::nullopt: it is malformed.
+std::optional<HandoverMessage> read_message(std::string_view body) {
     if (body.empty() || !is_known(static_cast<std::uint8_t>(body[0]))) return std::nullopt;
     HandoverMessage message{.kind = static_cast<HandoverKind>(body[0]), .parts = {}};
     body.remove_prefix(1);
     while (!body.empty()) {
-        if (body.size() < kLengthBytes32) return std::nullopt;
-        const std::size_t length = take_length(body);
+        if (body.size() < kLengthFieldBytes) return std::nullopt;
+        const std::size_t length = read_length(body);
         if (length > body.size()) return std::nullopt;
         message.parts.emplace_back(body.substr(0, length));
         body.remove_prefix(length);
     }
-    if (message.parts.size() != parts_of(message.kind)) return std::nullopt;
+    if (message.parts.size() != part_count(message.kind)) return std::nullopt;
     return message;
 }
 
@@ -74,34 +74,34 @@
 
 std::string HandoverMessage::encode() const {
     std::size_t length = 1;
-    for (const std::string& part : parts) length += kLengthBytes32 + part.size();
-    std::string text;
-    put(text, length);
-    text += static_cast<char>(kind);
+    for (const std::string& part : parts) length += kLengthFieldBytes + part.size();
+    std::string encoded;
+    write_length(encoded, length);
+    encoded += static_cast<char>(kind);
     for (const std::string& part : parts) {
-        put(text, part.size());
-        text += part;
+        write_length(encoded, part.size());
+        encoded += part;
     }
-    return text;
+    return encoded;
 }
 
 std::span<char> HandoverReader::read_buffer() {
-    bytes_.resize(end_ + kRead);
-    return {bytes_.data() + end_, kRead};
+    bytes_.resize(end_ + kReadBytes);
+    return {bytes_.data() + end_, kReadBytes};
 }
 
 bool HandoverReader::consume(std::size_t bytes) {
     end_ += bytes;
     std::string_view rest(bytes_.data(), end_);
-    while (rest.size() >= kLengthBytes32) {
+    while (rest.size() >= kLengthFieldBytes) {
         std::string_view body = rest;
-        const std::size_t length = take_length(body);
-        if (length == 0 || length > kMaxMessageBytes) return false;  // judged before there is room for it
+        const std::size_t length = read_length(body);
+        if (length == 0 || length > kMaxMessageBytes) return false;  // checked before memory is taken for it
         if (body.size() < length) break;
-        auto message = read(body.substr(0, length));
+        auto message = read_message(body.substr(0, length));
         if (!message) return false;
-        whole_.push_back(std::move(*message));
-        rest.remove_prefix(kLengthBytes32 + length);
+        messages_.push_back(std::move(*message));
+        rest.remove_prefix(kLengthFieldBytes + length);
     }
     std::memmove(bytes_.data(), rest.data(), rest.size());
     end_ = rest.size();
@@ -109,9 +109,9 @@
 }
 
 std::optional<HandoverMessage> HandoverReader::next() {
-    if (whole_.empty()) return std::nullopt;
-    HandoverMessage first = std::move(whole_.front());
-    whole_.erase(whole_.begin());
+    if (messages_.empty()) return std::nullopt;
+    HandoverMessage first = std::move(messages_.front());
+    messages_.erase(messages_.begin());
     return first;
 }
 
--- a/src/protocol/handover.hpp
+++ b/src/protocol/handover.hpp
@@ -1,5 +1,6 @@
-// What the process that serves and the one that takes over tell each other. A message is a length, a kind and
-// parts; descriptors travel beside the bytes. Knows no socket.
+// The messages between a serving process and the successor that takes over from it in an upgrade. A message
+// is a length of four bytes, a kind of one byte and parts; each part is a length of four bytes and its text.
+// File descriptors are passed beside the bytes. It does no I/O of its own.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +15,17 @@
 
 namespace nettlestall::protocol {
 
+// The comments name the parts. Each part is text; a flag is `1` or `0`.
 enum class HandoverKind : std::uint8_t {
-    hello = 1,          // name, version; from the old one with its listening socket
-    exchange_list,      // the exchanges, as a line of the feed
-    take_over,          // the new one is ready
-    handed_over,        // the old one accepts no more
-    caller_connection,  // has asked (1 or 0), bytes of a message that has begun; with the connection
-    remaining_callers,  // callers' connections that the old one still has
+    hello = 1,          // name, version; with the listening socket if the predecessor sends it
+    exchange_list,      // the exchanges, as a line of the control feed
+    take_over,          // no parts: the successor is ready
+    handed_over,        // no parts: the predecessor accepts no more connections
+    caller_connection,  // flag: has sent a request; bytes of a message that has begun; with the connection
+    remaining_callers,  // how many callers' connections the predecessor still has
     standing_call,      // exchange, call, origin
-    call_ended,         // exchange, call, 1 where it came to its end and 0 where it was cut
-    call_released,      // call, by its caller
+    call_ended,         // exchange, call, flag: ended in the normal way, else it was cut
+    call_released,      // call; by its caller
 };
 
 struct HandoverMessage {
@@ -31,26 +33,31 @@
     std::vector<std::string> parts;
 
     static HandoverMessage hello();
-    bool is_valid_hello() const;  // in this version
+    // Whether it is the hello of this program in this version of the messages.
+    bool is_valid_hello() const;
     bool carries_descriptor() const {
         return kind == HandoverKind::hello || kind == HandoverKind::caller_connection;
     }
     std::string encode() const;
 };
 
+// Cuts the bytes of one connection into messages.
 class HandoverReader {
    public:
-    static constexpr std::size_t kMaxMessageBytes = 1024 * 1024;  // of a message behind its length
+    static constexpr std::size_t kMaxMessageBytes = 1024 * 1024;  // without the message's own length field
 
+    // Where the next bytes are to be read into.
     std::span<char> read_buffer();
-    // False: malformed, the conversation is over.
+    // Handles `bytes` bytes that were read into read_buffer(). False: they are malformed and the connection
+    // is to be closed.
     bool consume(std::size_t bytes);
-    std::optional<HandoverMessage> next();  // nothing: more is wanted
+    // Takes the next message; std::nullopt if none is complete.
+    std::optional<HandoverMessage> next();
 
    private:
     std::vector<char> bytes_;
-    std::size_t end_ = 0;
-    std::vector<HandoverMessage> whole_;
+    std::size_t end_ = 0;                    // of the bytes of a message that has no end yet
+    std::vector<HandoverMessage> messages_;  // complete, not taken yet
 };
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/operators.cpp
+++ b/src/protocol/operators.cpp
@@ -8,8 +8,9 @@
 namespace nettlestall::protocol {
 namespace {
 
-constexpr std::size_t kRead = 1024;
+constexpr std::size_t kReadBytes = 1024;  // buffer space for each read
 
+// Whether the text is a token as HTTP defines it: a method or the name of a header field.
 bool is_token(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
         return std::isalnum(c) ||
@@ -17,7 +18,8 @@
     });
 }
 
-bool same(std::string_view a, std::string_view b) {  // names of fields, whatever their case
+// Header fields are named in any case.
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
@@ -28,7 +30,7 @@
     return text;
 }
 
-// Takes the next line off `rest`, without its end. A bare line feed ends a line too.
+// Removes the next line from `rest` and returns it without its end. A line feed alone ends a line too.
 std::string_view next_line(std::string_view& rest) {
     std::string_view line = rest.substr(0, rest.find('\n'));
     rest.remove_prefix(std::min(rest.size(), line.size() + 1));
@@ -36,8 +38,8 @@
     return line;
 }
 
-// Behind the empty line; 0: it has not come yet.
-std::size_t end_of_head(std::string_view text) {
+// The length of the header, up to and including the empty line; 0: the empty line has not come yet.
+std::size_t end_of_header(std::string_view text) {
     for (std::size_t at = text.find('\n'); at != std::string_view::npos; at = text.find('\n', at + 1)) {
         const std::string_view next = text.substr(at + 1, 2);
         if (next.substr(0, 1) == "\n") return at + 2;
@@ -46,10 +48,10 @@
     return 0;
 }
 
-std::string reply_of(std::string_view status, std::string_view body, std::string_view more = {}) {
+std::string format_reply(std::string_view status, std::string_view body, std::string_view extra = {}) {
     std::string text = "HTTP/1.1 ";
     text.append(status).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
-    text.append(std::to_string(body.size())).append("\r\nConnection: close\r\n").append(more);
+    text.append(std::to_string(body.size())).append("\r\nConnection: close\r\n").append(extra);
     return text.append("\r\n").append(body);
 }
 
@@ -57,103 +59,105 @@
 
 std::span<char> OperatorSession::read_buffer() {
     if (in_body_) end_ = 0;
-    bytes_.resize(end_ + kRead);
-    return {bytes_.data() + end_, kRead};
+    bytes_.resize(end_ + kReadBytes);
+    return {bytes_.data() + end_, kReadBytes};
 }
 
 bool OperatorSession::consume(std::size_t bytes) {
     if (!reply_.empty()) return false;
     if (!in_body_) {
         end_ += bytes;
-        // Empty lines ahead of the request line are passed over.
+        // Empty lines before the request line are skipped.
         std::size_t skipped = 0;
         while (skipped < end_ && (bytes_[skipped] == '\r' || bytes_[skipped] == '\n')) ++skipped;
-        const std::string_view all(bytes_.data() + skipped, end_ - skipped);
-        const std::size_t head = end_of_head(all);
-        // Judged by what has come: a head that does not end must not be waited for.
-        if (head > kMaxHeaderBytes || (head == 0 && end_ > kMaxHeaderBytes))
-            return refuse("431 Request Header Fields Too Large");
-        if (head == 0) return true;
-        if (!read_head(all.substr(0, head))) return false;
+        const std::string_view received(bytes_.data() + skipped, end_ - skipped);
+        const std::size_t header_bytes = end_of_header(received);
+        // Checked before the header is complete: one that does not end must not be waited for.
+        if (header_bytes > kMaxHeaderBytes || (header_bytes == 0 && end_ > kMaxHeaderBytes))
+            return reject("431 Request Header Fields Too Large");
+        if (header_bytes == 0) return true;
+        if (!read_header(received.substr(0, header_bytes))) return false;
         in_body_ = true;
-        bytes = all.size() - head;
+        bytes = received.size() - header_bytes;
     }
-    body_ -= std::min(body_, bytes);
-    if (body_ > 0) return true;
-    carry_out();
+    body_bytes_left_ -= std::min(body_bytes_left_, bytes);
+    if (body_bytes_left_ > 0) return true;
+    handle_request();
     return false;
 }
 
-bool OperatorSession::read_head(std::string_view head) {
-    const std::string_view line = next_line(head);
-    const auto first = line.find(' '), last = line.rfind(' ');
-    if (first == std::string_view::npos || first == last) return refuse("400 Bad Request");
-    method_ = line.substr(0, first);
-    target_ = line.substr(first + 1, last - first - 1);
-    const std::string_view version = line.substr(last + 1);
-    const bool known = version == "HTTP/1.1" || version == "HTTP/1.0";
-    if (!is_token(method_) || !target_.starts_with('/') || target_.find(' ') != std::string::npos)
-        return refuse("400 Bad Request");
-    if (!known)
-        return refuse(version.starts_with("HTTP/") ? "505 HTTP Version Not Supported" : "400 Bad Request");
-    for (std::string_view field = next_line(head); !field.empty(); field = next_line(head))
+bool OperatorSession::read_header(std::string_view header) {
+    const std::string_view line = next_line(header);
+    const auto first_space = line.find(' '), last_space = line.rfind(' ');
+    if (first_space == std::string_view::npos || first_space == last_space) return reject("400 Bad Request");
+    method_ = line.substr(0, first_space);
+    path_ = line.substr(first_space + 1, last_space - first_space - 1);
+    const std::string_view version = line.substr(last_space + 1);
+    const bool is_supported = version == "HTTP/1.1" || version == "HTTP/1.0";
+    if (!is_token(method_) || !path_.starts_with('/') || path_.find(' ') != std::string::npos)
+        return reject("400 Bad Request");
+    if (!is_supported)
+        return reject(version.starts_with("HTTP/") ? "505 HTTP Version Not Supported" : "400 Bad Request");
+    for (std::string_view field = next_line(header); !field.empty(); field = next_line(header))
         if (!read_field(field)) return false;
-    if (!host_ && version == "HTTP/1.1") return refuse("400 Bad Request");
-    const auto mark = std::min(target_.find('?'), target_.size());
-    query_ = target_.substr(std::min(mark + 1, target_.size()));
-    target_.resize(mark);
+    if (!has_host_ && version == "HTTP/1.1") return reject("400 Bad Request");
+    const auto path_end = std::min(path_.find('?'), path_.size());
+    query_ = path_.substr(std::min(path_end + 1, path_.size()));
+    path_.resize(path_end);
     return true;
 }
 
 bool OperatorSession::read_field(std::string_view line) {
     const auto colon = line.find(':');
-    if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return refuse("400 Bad Request");
+    if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return reject("400 Bad Request");
     const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
-    if (same(name, "host")) host_ = true;
-    if (same(name, "transfer-encoding")) return refuse("501 Not Implemented");
-    if (!same(name, "content-length")) return true;
+    if (equal_ignoring_case(name, "host")) has_host_ = true;
+    if (equal_ignoring_case(name, "transfer-encoding")) return reject("501 Not Implemented");
+    if (!equal_ignoring_case(name, "content-length")) return true;
     std::size_t length = 0;
-    const auto [end, wrong] = std::from_chars(value.data(), value.data() + value.size(), length);
-    if (value.empty() || end != value.data() + value.size() || (length_ && length != body_))
-        return refuse("400 Bad Request");
-    if (wrong != std::errc{} || length > kMaxBodyBytes) return refuse("413 Content Too Large");
-    length_ = true;
-    body_ = length;
+    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), length);
+    if (value.empty() || end != value.data() + value.size() || (has_length_ && length != body_bytes_left_))
+        return reject("400 Bad Request");
+    if (error != std::errc{} || length > kMaxBodyBytes) return reject("413 Content Too Large");
+    has_length_ = true;
+    body_bytes_left_ = length;
     return true;
 }
 
-bool OperatorSession::refuse(const char* status, std::string_view more) {
-    reply_ = reply_of(status, std::string(status).append("\n"), more);
+bool OperatorSession::reject(const char* status, std::string_view extra) {
+    reply_ = format_reply(status, std::string(status).append("\n"), extra);
     return false;
 }
 
-void OperatorSession::carry_out() {
-    const bool reads = target_ == "/ready" || target_ == "/metrics";
-    if (!reads && target_ != "/drain" && target_ != "/undrain") {
-        const auto other = events_.handle_other(method_, target_, query_);
+void OperatorSession::handle_request() {
+    // The queries need GET, the commands POST.
+    const bool is_read_only = path_ == "/ready" || path_ == "/metrics";
+    if (!is_read_only && path_ != "/drain" && path_ != "/undrain") {
+        const auto other = handler_.handle_other(method_, path_, query_);
         if (!other || other->status == 404) {
-            other ? void(reply_ = reply_of("404 Not Found", other->body)) : void(refuse("404 Not Found"));
+            other ? void(reply_ = format_reply("404 Not Found", other->body)) : void(reject("404 Not Found"));
         } else if (other->status == 405) {
-            refuse("405 Method Not Allowed", "Allow: " + other->body + "\r\n");
+            reject("405 Method Not Allowed", "Allow: " + other->body + "\r\n");
         } else {
-            reply_ = reply_of(other->status == 200   ? "200 OK"
-                              : other->status == 400 ? "400 Bad Request"
-                                                     : "409 Conflict",
-                              other->body);
+            reply_ = format_reply(other->status == 200   ? "200 OK"
+                                  : other->status == 400 ? "400 Bad Request"
+                                                         : "409 Conflict",
+                                  other->body);
         }
-    } else if (method_ != (reads ? "GET" : "POST")) {
-        refuse("405 Method Not Allowed", reads ? "Allow: GET\r\n" : "Allow: POST\r\n");
-    } else if (target_ == "/ready") {
-        const bool ready = events_.is_ready();
-        reply_ = reply_of(ready ? "200 OK" : "503 Service Unavailable", ready ? "ready\n" : "not ready\n");
-    } else if (target_ == "/metrics") {
-        reply_ = reply_of("200 OK", events_.metrics());
-    } else if (target_ == "/drain") {
-        events_.drain();
-        reply_ = reply_of("200 OK", "draining\n");
+    } else if (method_ != (is_read_only ? "GET" : "POST")) {
+        reject("405 Method Not Allowed", is_read_only ? "Allow: GET\r\n" : "Allow: POST\r\n");
+    } else if (path_ == "/ready") {
+        const bool is_ready = handler_.is_ready();
+        reply_ = format_reply(is_ready ? "200 OK" : "503 Service Unavailable",
+                              is_ready ? "ready\n" : "not ready\n");
+    } else if (path_ == "/metrics") {
+        reply_ = format_reply("200 OK", handler_.metrics());
+    } else if (path_ == "/drain") {
+        handler_.drain();
+        reply_ = format_reply("200 OK", "draining\n");
     } else {
-        events_.undrain();
-        reply_ = reply_of("200 OK", "serving\n");
+        handler_.undrain();
+        reply_ = format_reply("200 OK", "serving\n");
     }
 }
 
--- a/src/protocol/operators.hpp
+++ b/src/protocol/operators.hpp
@@ -1,4 +1,4 @@
-// The operators' side: one HTTP/1.1 call in, one reply out. Knows no socket.
+// The operators' side: reads one HTTP/1.1 request and makes the reply to it. It does no I/O of its own.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,19 @@
 namespace nettlestall::protocol {
 
 struct OperatorReply {
-    int status = 200;  // with 405 the body is the method that is allowed
-    std::string body{};
+    int status = 200;    // 200, 400, 404, 405 or 409
+    std::string body{};  // with 405 the method that is allowed
 };
 
-// What operators can ask for and order.
+// What operators can query and command.
 class OperatorRequestHandler {
    public:
-    virtual bool is_ready() = 0;              // the same answer as the front's test gets
+    virtual bool is_ready() = 0;              // the same answer as a health check gets
     virtual std::string metrics() const = 0;  // lines of name:value|kind
-    virtual void drain() = 0;                 // further orders of the same kind change nothing
+    // While a drain is on, a further drain() changes nothing; the same holds for undrain().
+    virtual void drain() = 0;
     virtual void undrain() = 0;
-    // What the parts add that are on. Nothing: there is no such path.
+    // Handles the paths that are not among the above. std::nullopt: there is no such path.
     virtual std::optional<OperatorReply> handle_other(std::string_view method, std::string_view path,
                                                       std::string_view query) = 0;
 
@@ -29,28 +30,37 @@
     ~OperatorRequestHandler() = default;
 };
 
+// One connection of the operators: it carries one request and is closed after the reply.
 class OperatorSession {
    public:
-    static constexpr std::size_t kMaxHeaderBytes = 8 * 1024;  // of the request line and all fields
-    static constexpr std::size_t kMaxBodyBytes = 64 * 1024;   // read and passed over: no call needs one
+    static constexpr std::size_t kMaxHeaderBytes = 8 * 1024;  // the request line and all header fields
+    static constexpr std::size_t kMaxBodyBytes = 64 * 1024;   // the body is skipped: no request needs one
 
-    explicit OperatorSession(OperatorRequestHandler& events) : events_(events) {}
+    // `handler` has to outlive the session.
+    explicit OperatorSession(OperatorRequestHandler& handler) : handler_(handler) {}
 
+    // Where the next bytes of the connection are to be read into.
     std::span<char> read_buffer();
-    // Takes what was read into space(). False: nothing more is wanted, the reply is there.
+    // Handles `bytes` bytes that were read into read_buffer(). False: no more bytes are wanted and reply() is
+    // set.
     bool consume(std::size_t bytes);
+    // The whole reply with its header; empty as long as the request is not complete.
     const std::string& reply() const { return reply_; }
 
    private:
-    bool read_head(std::string_view head);  // false: refused, with a reply
+    // Both return false if the request was rejected; the reply says why.
+    bool read_header(std::string_view header);
     bool read_field(std::string_view line);
-    bool refuse(const char* status, std::string_view more = {});
-    void carry_out();
+    // Sets a reply with this status. `extra` is added to the reply's header fields. Returns false.
+    bool reject(const char* status, std::string_view extra = {});
+    // Carries out the request and sets the reply.
+    void handle_request();
 
-    OperatorRequestHandler& events_;
-    std::string bytes_, method_, target_, query_, reply_;
-    std::size_t end_ = 0, body_ = 0;
-    bool in_body_ = false, host_ = false, length_ = false;
+    OperatorRequestHandler& handler_;
+    std::string bytes_, method_, path_, query_, reply_;
+    std::size_t end_ = 0;              // of the bytes of the header that have come
+    std::size_t body_bytes_left_ = 0;  // until the end of the body
+    bool in_body_ = false, has_host_ = false, has_length_ = false;
 };
 
 }  // namespace nettlestall::protocol
--- a/src/protocol/switches.hpp
+++ b/src/protocol/switches.hpp
@@ -1,5 +1,5 @@
-// The carrier switch's side of the binary protocol: a connection's bytes in, events to the call table, and
-// set-ups and releases as messages. Knows no socket.
+// The carrier switch's side of the binary protocol: turns a connection's bytes into events for the call
+// table, and set-ups and releases into messages. It does no I/O of its own.
 #pragma once
 
 #include "calls/signals.hpp"
@@ -8,28 +8,33 @@
 
 namespace nettlestall::protocol {
 
+// One connection to the carrier switch of `exchange`.
 class SwitchSession {
    public:
-    SwitchSession(ExchangeId at, SwitchEvents& events, Counters& counters)
-        : at_(std::move(at)), events_(events), counters_(counters) {}
-
-    std::span<char> read_buffer() { return inbox_.read_buffer(); }
-    // Takes what was read into space(). False: malformed, the connection is to be closed.
+    // `events` and `counters` have to outlive the session.
+    SwitchSession(ExchangeId exchange, SwitchEvents& events, Counters& counters)
+        : exchange_(std::move(exchange)), events_(events), counters_(counters) {}
+
+    // Where the next bytes of the connection are to be read into.
+    std::span<char> read_buffer() { return reader_.read_buffer(); }
+    // Handles `bytes` bytes that were read into read_buffer(). False: they are malformed and the connection
+    // is to be closed.
     bool consume(std::size_t bytes);
 
-    bool has_partial_message() const { return inbox_.has_partial_message(); }
-    std::uint64_t whole_messages() const { return inbox_.whole_messages(); }
+    bool has_partial_message() const { return reader_.has_partial_message(); }
+    std::uint64_t whole_messages() const { return reader_.whole_messages(); }
 
-    static Frame set_up_frame(const OutgoingSetUp& forward);
-    static Frame release_frame(const CallId& call);  // before the answer it gives the set-up up
+    // The messages to the switch. A release that is sent before the answer cancels the set-up.
+    static Frame set_up_frame(const OutgoingSetUp& set_up);
+    static Frame release_frame(const CallId& call);
 
    private:
-    bool take(const Message& message);  // false: malformed
+    bool handle_message(const Message& message);  // false: malformed
 
-    ExchangeId at_;
+    ExchangeId exchange_;
     SwitchEvents& events_;
     Counters& counters_;
-    MessageReader inbox_;
+    MessageReader reader_;
 };
 
 }  // namespace nettlestall::protocol
