--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -8,25 +8,30 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kReadyAnyway =
-    milliseconds(1500);                               // a silent switch must not keep the front away for ever
-constexpr Duration kOverdueSlack = milliseconds(20);  // past the caller's patience, before the guard answers
-constexpr Duration kFrontTurns = milliseconds(200);   // from the first no until callers come no more
-constexpr Duration kNobodyAsks = milliseconds(600);   // after an order to drain
-constexpr Duration kNoMoreSetUps = milliseconds(1800);  // after it: callers must be gone 4 s after it
-constexpr std::size_t kReleasesOwed = 20'000;
+// This long after its start the gatekeeper is ready even if not every exchange has reported its circuits: a
+// silent carrier switch must not keep the load balancer away for ever.
+constexpr Duration kReadyWithoutReports = milliseconds(1500);
+// The answer timer expires this long after the call's deadline, so that the decision module answers first.
+constexpr Duration kAnswerTimerDelay = milliseconds(20);
+// From the first failed health check until the load balancer sends no more callers.
+constexpr Duration kBalancerReaction = milliseconds(200);
+// From the command to drain until callers are sent away even though no health check has come.
+constexpr Duration kDrainWithoutHealthCheck = milliseconds(600);
+// From the command to drain until set-ups are refused. All callers must be gone 4 s after the command.
+constexpr Duration kRefusalsDuringDrain = milliseconds(1800);
+constexpr std::size_t kMaxPendingReleases = 20'000;  // further ones are dropped, to keep the memory bounded
 
 }  // namespace
 
-Gatekeeper::Gatekeeper(const Settings& settings, std::uint64_t seed, Clock time, Switches& switches,
+Gatekeeper::Gatekeeper(const Settings& settings, std::uint64_t seed, Clock clock, Switches& switches,
                        Counters& counters, const Bounds& bounds)
     : settings_(settings),
       control_(settings, seed),
-      time_(std::move(time)),
+      clock_(std::move(clock)),
       switches_(switches),
       counters_(counters),
       bounds_(bounds),
-      started_(time_()) {
+      started_(clock_()) {
     for (const ClassSettings& named : settings_.classes) replies_.push_back({.service_class = named.name});
 }
 
@@ -36,339 +41,350 @@
     bounds_ = bounds;
 }
 
-// ---- The module ------------------------------------------------------------------------------------
+// ---- The decision module and the timers -------------------------------------------------------------
 
-void Gatekeeper::tell(Event event) {
-    later(std::move(event));
-    if (telling_) return;  // what an action brought about waits for the actions before it
-    telling_ = true;
+void Gatekeeper::handle_event(Event event) {
+    queue_event(std::move(event));
+    if (handling_events_) return;  // an event caused by an action waits until the actions before it are done
+    handling_events_ = true;
     while (!events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
         actions_.clear();
-        control_.handle(time_(), next, actions_);
+        control_.handle(clock_(), next, actions_);
         for (std::size_t i = 0; i < actions_.size(); ++i)
-            std::visit([this](const auto& action) { act(action); }, actions_[i]);
+            std::visit([this](const auto& action) { carry_out(action); }, actions_[i]);
     }
-    telling_ = false;
+    handling_events_ = false;
 }
 
-Gatekeeper::Timers::iterator Gatekeeper::schedule(Instant at, Due due) {
-    const bool first = due_.empty() || at < due_.begin()->first;
-    const auto entry = due_.emplace(at, std::move(due));
-    if (first && earlier_) earlier_(at);
+Gatekeeper::Timers::iterator Gatekeeper::schedule(Instant when, Timer timer) {
+    const bool is_earliest = timers_.empty() || when < timers_.begin()->first;
+    const auto entry = timers_.emplace(when, std::move(timer));
+    if (is_earliest && timer_handler_) timer_handler_(when);
     return entry;
 }
 
-// Guards against callers who claim to wait for an hour: a timer would stay that long after its call has
-// ended.
-void Gatekeeper::unschedule(std::optional<Timers::iterator>& timer) {
-    if (timer) due_.erase(*timer);
+// Timers are removed with their call: a caller that claims to wait for an hour would otherwise leave a timer
+// behind for that long.
+void Gatekeeper::cancel_timer(std::optional<Timers::iterator>& timer) {
+    if (timer) timers_.erase(*timer);
     timer.reset();
 }
 
 std::size_t Gatekeeper::table_entries() const {
-    return calls_.size() + exchanges_.size() + due_.size() + owed_.size() + control_.entries();
+    return calls_.size() + exchanges_.size() + timers_.size() + pending_releases_.size() + control_.entries();
 }
 
 void Gatekeeper::run_timers() {
-    while (!due_.empty() && due_.begin()->first <= time_()) {
-        const Due next = std::move(due_.begin()->second);
-        due_.erase(due_.begin());
-        std::visit([this](const auto& timer) { due(timer); }, next);
+    while (!timers_.empty() && timers_.begin()->first <= clock_()) {
+        const Timer next = std::move(timers_.begin()->second);
+        timers_.erase(timers_.begin());
+        std::visit([this](const auto& timer) { on_timer(timer); }, next);
     }
-    if (!due_.empty() && earlier_) earlier_(due_.begin()->first);
+    if (!timers_.empty() && timer_handler_) timer_handler_(timers_.begin()->first);
 }
 
-void Gatekeeper::due(const ModuleTimer& timer) {
-    tell(TimerDue{timer.token});
+void Gatekeeper::on_timer(const ModuleTimer& timer) {
+    handle_event(TimerDue{timer.token});
 }
 
-void Gatekeeper::due(const AttemptTimeOut& timer) {
-    const auto at = calls_.find(timer.call);
-    if (at == calls_.end() || at->second.phase != Phase::out || at->second.attempts != timer.attempt) return;
-    at->second.time_out.reset();
+void Gatekeeper::on_timer(const AttemptTimeout& timer) {
+    const auto entry = calls_.find(timer.call);
+    if (entry == calls_.end() || entry->second.phase != Phase::attempting ||
+        entry->second.attempts != timer.attempt)
+        return;
+    entry->second.attempt_timer.reset();
     ++counters_.timed_out;
-    switches_.cancel(at->second.at, at->first);
-    end_attempt(at, Outcome::timed_out, Cause::none, {});
+    switches_.cancel(entry->second.exchange, entry->first);
+    end_attempt(entry, Outcome::timed_out, Cause::none, {});
 }
 
-// Guards against a call without a final answer, whatever the module or an exchange did: the module answers
-// before this comes due.
-void Gatekeeper::due(const AnswerDue& timer) {
-    const auto at = calls_.find(timer.call);
-    if (at == calls_.end() || at->second.phase == Phase::standing) return;
-    at->second.answer_due.reset();
+// Ensures that every call gets a final answer, whatever the decision module or an exchange does. Normally the
+// module has answered before this timer expires.
+void Gatekeeper::on_timer(const AnswerDeadline& timer) {
+    const auto entry = calls_.find(timer.call);
+    if (entry == calls_.end() || entry->second.phase == Phase::standing) return;
+    entry->second.answer_timer.reset();
     ++counters_.overdue;
-    CallerLink* const link = at->second.link;
-    const std::string service_class = at->second.service_class;
-    abandon(at);
+    CallerLink* const link = entry->second.link;
+    const std::string service_class = entry->second.service_class;
+    abandon(entry);
     refuse_or_fail(link, timer.call, service_class, ReleaseReason::failed);
 }
 
-// ---- Its actions -----------------------------------------------------------------------------------
+// ---- Actions of the decision module -----------------------------------------------------------------
 
-bool Gatekeeper::may_set_up(const Call& call, const ExchangeId& at) const {
-    const auto exchange = exchanges_.find(at);
+bool Gatekeeper::can_set_up(const Call& call, const ExchangeId& exchange) const {
+    const auto listed = exchanges_.find(exchange);
     return call.phase == Phase::waiting && call.attempts < settings_.max_attempts &&
-           time_() >= call.not_before && exchange != exchanges_.end() &&
-           exchange->second.state == ExchangeState::ready &&
-           exchange->second.number != settings_.own_exchange &&
-           (!call.transit || exchange->second.number == call.destination);
-}
-
-void Gatekeeper::act(const SetUp& action) {
-    const auto at = calls_.find(action.call);
-    if (at == calls_.end()) return;
-    Call& call = at->second;
-    // Guards the rules whatever the module asks for: no second attempt beside one that is out, none before
-    // the release, none to an exchange that drains or has gone, none beyond the cap, no call in transit to
-    // any but its destination.
-    if (!may_set_up(call, action.exchange)) {
+           clock_() >= call.not_before && listed != exchanges_.end() &&
+           listed->second.state == ExchangeState::ready && listed->second.number != settings_.own_exchange &&
+           (!call.transit || listed->second.number == call.destination);
+}
+
+void Gatekeeper::carry_out(const SetUp& action) {
+    const auto entry = calls_.find(action.call);
+    if (entry == calls_.end()) return;
+    Call& call = entry->second;
+    // Enforces the rules whatever the module asks for: only one attempt of a call at a time, none before the
+    // last one was released, none to an exchange that drains or has gone, none beyond the maximum number, and
+    // no call in transit to any exchange but its destination.
+    if (!can_set_up(call, action.exchange)) {
         ++counters_.held_back;
         if (call.phase != Phase::waiting) return;
-        return later(AttemptEnded{.call = action.call,
-                                  .attempt = call.attempts++,
-                                  .exchange = action.exchange,
-                                  .outcome = Outcome::not_sent});
+        return queue_event(AttemptEnded{.call = action.call,
+                                        .attempt = call.attempts++,
+                                        .exchange = action.exchange,
+                                        .outcome = Outcome::not_sent});
     }
-    const Instant now = time_();
-    const Duration left = call.answer_by - now;
-    const Duration wait = action.time_out > Duration::zero() ? std::min(action.time_out, left) : left;
-    call.phase = Phase::out;
-    call.at = action.exchange;
-    call.sent = now;
+    const Instant now = clock_();
+    const Duration time_left = call.answer_deadline - now;
+    const Duration time_limit =
+        action.time_out > Duration::zero() ? std::min(action.time_out, time_left) : time_left;
+    call.phase = Phase::attempting;
+    call.exchange = action.exchange;
+    call.sent_at = now;
     ++call.attempts;
     ++counters_.attempts;
-    call.time_out = schedule(now + wait, AttemptTimeOut{action.call, call.attempts});
-    switches_.set_up(call.at, {.call = action.call,
-                               .service_class = call.service_class,
-                               .number = call.number,
-                               .description = call.description,
-                               .time_limit = wait,
-                               .destination = call.destination,
-                               .width = call.width,
-                               .was_cut = call.again,
-                               .redial = call.redial});
-}
-
-void Gatekeeper::act(const Refuse& action) {
-    // The pause that the module may advise has no place in this protocol's messages.
+    call.attempt_timer = schedule(now + time_limit, AttemptTimeout{action.call, call.attempts});
+    switches_.set_up(call.exchange, {.call = action.call,
+                                     .service_class = call.service_class,
+                                     .number = call.number,
+                                     .description = call.description,
+                                     .time_limit = time_limit,
+                                     .destination = call.destination,
+                                     .width = call.width,
+                                     .was_cut = call.was_cut,
+                                     .redial = call.redial});
+}
+
+void Gatekeeper::carry_out(const Refuse& action) {
+    // The module may advise a pause before the next try, but the protocol's messages have no field for it.
     ++counters_.refused;
-    final_answer(action.call, ReleaseReason::refused);
+    send_final_answer(action.call, ReleaseReason::refused);
 }
 
-void Gatekeeper::act(const Fail& action) {
+void Gatekeeper::carry_out(const Fail& action) {
     ++counters_.failed;
-    final_answer(action.call, ReleaseReason::failed);
+    send_final_answer(action.call, ReleaseReason::failed);
 }
 
-void Gatekeeper::act(const Cancel& action) {
-    const auto at = calls_.find(action.call);
-    if (at == calls_.end() || at->second.phase != Phase::out || at->second.attempts != action.attempt + 1)
+void Gatekeeper::carry_out(const Cancel& action) {
+    const auto entry = calls_.find(action.call);
+    if (entry == calls_.end() || entry->second.phase != Phase::attempting ||
+        entry->second.attempts != action.attempt + 1)
         return;
     ++counters_.cancelled;
-    switches_.cancel(at->second.at, at->first);
-    end_attempt(at, Outcome::cancelled, Cause::none, {});
+    switches_.cancel(entry->second.exchange, entry->first);
+    end_attempt(entry, Outcome::cancelled, Cause::none, {});
 }
 
-void Gatekeeper::act(const SetTimer& action) {
-    schedule(time_() + action.delay, ModuleTimer{action.token});
+void Gatekeeper::carry_out(const SetTimer& action) {
+    schedule(clock_() + action.delay, ModuleTimer{action.token});
 }
 
-void Gatekeeper::act(const Note& action) {
-    if (note_) note_(action.text);
+void Gatekeeper::carry_out(const Note& action) {
+    if (note_handler_) note_handler_(action.text);
 }
 
-void Gatekeeper::final_answer(const CallId& id, ReleaseReason ending) {
-    const auto at = calls_.find(id);
-    if (at == calls_.end() || at->second.phase == Phase::standing) return;
-    if (at->second.phase == Phase::out) switches_.cancel(at->second.at, id);
-    CallerLink* const link = at->second.link;
-    const std::string service_class = std::move(at->second.service_class);
-    settle_answer(at->second);
-    calls_.erase(at);
-    refuse_or_fail(link, id, service_class, ending);
+void Gatekeeper::send_final_answer(const CallId& id, ReleaseReason reason) {
+    const auto entry = calls_.find(id);
+    if (entry == calls_.end() || entry->second.phase == Phase::standing) return;
+    if (entry->second.phase == Phase::attempting) switches_.cancel(entry->second.exchange, id);
+    CallerLink* const link = entry->second.link;
+    const std::string service_class = std::move(entry->second.service_class);
+    close_set_up(entry->second);
+    calls_.erase(entry);
+    refuse_or_fail(link, id, service_class, reason);
 }
 
 void Gatekeeper::refuse_or_fail(CallerLink* link, const CallId& id, std::string_view service_class,
-                                ReleaseReason ending) {
+                                ReleaseReason reason) {
     if (!link) return;
-    count(service_class, ending == ReleaseReason::refused ? &Replies::refused : &Replies::failed);
-    link->release(id, ending);
+    count_reply(service_class, reason == ReleaseReason::refused ? &Replies::refused : &Replies::failed);
+    link->release(id, reason);
 }
 
-void Gatekeeper::count(std::string_view service_class, std::uint64_t Replies::*reply) {
+void Gatekeeper::count_reply(std::string_view service_class, std::uint64_t Replies::*reply) {
     for (Replies& replies : replies_)
         if (replies.service_class == service_class) ++(replies.*reply);
 }
 
-// The call has its final answer, or is owed none.
-void Gatekeeper::settle_answer(Call& call) {
-    unschedule(call.answer_due);
-    unschedule(call.time_out);
+// The call has its final answer, or needs none any more.
+void Gatekeeper::close_set_up(Call& call) {
+    cancel_timer(call.answer_timer);
+    cancel_timer(call.attempt_timer);
     if (call.link) --call.link->usage.open_set_ups;
-    --unanswered_;
-    held_ -= call.description->size();
+    --unanswered_calls_;
+    description_bytes_ -= call.description->size();
     call.description = nullptr;
     call.number.clear();
 }
 
-// ---- Callers ---------------------------------------------------------------------------------------
+// ---- Callers ----------------------------------------------------------------------------------------
 
-void Gatekeeper::on_set_up(CallerLink& link, const SetUpRequest& offer) {
-    if (const auto at = calls_.find(offer.call); at != calls_.end()) {
+void Gatekeeper::on_set_up(CallerLink& link, const SetUpRequest& request) {
+    if (const auto entry = calls_.find(request.call); entry != calls_.end()) {
         ++counters_.repeated;
-        // On the call's own connection its one answer will do. Elsewhere somebody else waits for an answer.
-        if (at->second.link != &link)
-            refuse_or_fail(&link, offer.call, offer.service_class, ReleaseReason::failed);
+        // On the call's own connection the call's one answer is enough. On another connection another caller
+        // waits for an answer.
+        if (entry->second.link != &link)
+            refuse_or_fail(&link, request.call, request.service_class, ReleaseReason::failed);
         return;
     }
     ++counters_.set_ups;
-    counters_.transit += offer.transit;
-    counters_.redials += offer.redial;
-    const auto named = std::find_if(settings_.classes.begin(), settings_.classes.end(),
-                                    [&](const ClassSettings& c) { return c.name == offer.service_class; });
-    // A drain's refusals are for connections that never pause: each is to have its last answer and be closed.
-    const bool full =
-        takes_none() || at_the_bound() || held_ + offer.description.size() > bounds_.max_description_bytes ||
-        (settings_.max_open_calls > 0 && unanswered_ >= static_cast<std::size_t>(settings_.max_open_calls));
-    if (named == settings_.classes.end() || !makes_sense(offer, *named) || full) {
-        ++(full ? counters_.refused : counters_.failed);
-        return refuse_or_fail(&link, offer.call, offer.service_class,
-                              full ? ReleaseReason::refused : ReleaseReason::failed);
+    counters_.transit += request.transit;
+    counters_.redials += request.redial;
+    const auto service_class =
+        std::find_if(settings_.classes.begin(), settings_.classes.end(),
+                     [&](const ClassSettings& c) { return c.name == request.service_class; });
+    // Late in a drain set-ups are refused, so that connections that never pause come to have none open and
+    // can be closed.
+    const bool is_full = refuses_set_ups() || is_table_full() ||
+                         description_bytes_ + request.description.size() > bounds_.max_description_bytes ||
+                         (settings_.max_open_calls > 0 &&
+                          unanswered_calls_ >= static_cast<std::size_t>(settings_.max_open_calls));
+    if (service_class == settings_.classes.end() || !is_valid(request, *service_class) || is_full) {
+        ++(is_full ? counters_.refused : counters_.failed);
+        return refuse_or_fail(&link, request.call, request.service_class,
+                              is_full ? ReleaseReason::refused : ReleaseReason::failed);
     }
-    Call& call = calls_[offer.call];
-    ++unanswered_;
+    Call& call = calls_[request.call];
+    ++unanswered_calls_;
     call.link = &link;
     ++link.usage.open_set_ups;
     call.origin = link.origin();
-    call.destination = offer.destination;
-    call.transit = offer.transit;
-    call.again = offer.was_cut;
-    call.redial = offer.redial;
-    call.width = offer.width;
-    call.service_class = offer.service_class;
-    call.number = offer.number;
-    call.description = std::make_shared<const std::string>(offer.description);
-    held_ += offer.description.size();
-    const Duration patience = std::min(offer.time_left, end_ - time_());
-    call.answer_by = time_() + patience;
-    call.answer_due = schedule(call.answer_by + kOverdueSlack, AnswerDue{offer.call});
+    call.destination = request.destination;
+    call.transit = request.transit;
+    call.was_cut = request.was_cut;
+    call.redial = request.redial;
+    call.width = request.width;
+    call.service_class = request.service_class;
+    call.number = request.number;
+    call.description = std::make_shared<const std::string>(request.description);
+    description_bytes_ += request.description.size();
+    const Duration time_left = std::min(request.time_left, shutdown_end_ - clock_());
+    call.answer_deadline = clock_() + time_left;
+    call.answer_timer = schedule(call.answer_deadline + kAnswerTimerDelay, AnswerDeadline{request.call});
 
     CallOffered event;
-    event.call = offer.call;
-    event.destination = offer.destination;
-    event.width = offer.width;
-    event.service_class = static_cast<int>(named - settings_.classes.begin());
-    (offer.transit ? event.previous : event.advised) = offer.via;
-    event.patience = patience;
-    event.transit = offer.transit;
-    event.was_cut = offer.was_cut;
-    event.redial = offer.redial;
+    event.call = request.call;
+    event.destination = request.destination;
+    event.width = request.width;
+    event.service_class = static_cast<int>(service_class - settings_.classes.begin());
+    (request.transit ? event.previous : event.advised) = request.via;
+    event.patience = time_left;
+    event.transit = request.transit;
+    event.was_cut = request.was_cut;
+    event.redial = request.redial;
     event.number = call.number;
-    tell(std::move(event));
+    handle_event(std::move(event));
 }
 
-// Guards against set-ups that no carrier switch can use, and that would wait here in vain: a call takes as
-// many circuits as its class is wide, and somebody waits for it.
-bool Gatekeeper::makes_sense(const SetUpRequest& offer, const ClassSettings& service_class) {
-    return offer.width == service_class.width && offer.destination >= 0 && offer.time_left > Duration::zero();
+// A set-up is useless unless it takes as many circuits as its class says, names a destination, and has time
+// left. No carrier switch could serve it, and it would only wait here until its deadline.
+bool Gatekeeper::is_valid(const SetUpRequest& request, const ClassSettings& service_class) {
+    return request.width == service_class.width && request.destination >= 0 &&
+           request.time_left > Duration::zero();
 }
 
 void Gatekeeper::on_release(CallerLink& link, const CallId& id) {
-    const auto at = calls_.find(id);
-    if (at == calls_.end()) {  // over already, and told twice
+    const auto entry = calls_.find(id);
+    if (entry == calls_.end()) {  // already over, or handed over to the successor
         if (successor_) successor_->hand_over_release(id);
         return;
     }
-    // A set-up is given up by whoever waits for it; a call that stands belongs to no connection.
-    if (at->second.phase != Phase::standing && at->second.link != &link) {
+    // Only the connection that a set-up came on can cancel it. A standing call can be released on any
+    // connection.
+    if (entry->second.phase != Phase::standing && entry->second.link != &link) {
         ++counters_.ignored;
         return;
     }
-    if (at->second.phase == Phase::standing) return release_standing(at);
+    if (entry->second.phase == Phase::standing) return release_standing(entry);
     ++counters_.abandoned;
-    abandon(at);
-}
-
-// The caller waits no longer: no answer is owed, and what is out is given up.
-void Gatekeeper::abandon(Calls::iterator at) {
-    const CallId id = at->first;
-    Call call = std::move(at->second);
-    calls_.erase(at);
-    settle_answer(call);
-    if (call.phase == Phase::out) switches_.cancel(call.at, id);
-    tell(CallAbandoned{id});
-    if (call.phase == Phase::out)
-        tell(AttemptEnded{.call = id,
-                          .attempt = call.attempts - 1,
-                          .exchange = call.at,
-                          .outcome = Outcome::cancelled,
-                          .final = true,
-                          .lag = time_() - call.sent});
+    abandon(entry);
+}
+
+void Gatekeeper::abandon(Calls::iterator entry) {
+    const CallId id = entry->first;
+    Call call = std::move(entry->second);
+    calls_.erase(entry);
+    close_set_up(call);
+    if (call.phase == Phase::attempting) switches_.cancel(call.exchange, id);
+    handle_event(CallAbandoned{id});
+    if (call.phase == Phase::attempting)
+        handle_event(AttemptEnded{.call = id,
+                                  .attempt = call.attempts - 1,
+                                  .exchange = call.exchange,
+                                  .outcome = Outcome::cancelled,
+                                  .final = true,
+                                  .lag = clock_() - call.sent_at});
 }
 
 void Gatekeeper::drain() {
-    if (!drain_) drain_ = Drain{.since = time_(), .heard = {}};
+    if (!drain_) drain_ = Drain{.since = clock_(), .first_health_check = {}};
 }
 
 bool Gatekeeper::can_close_callers() const {
     if (!drain_) return false;
-    return time_() >= std::min(drain_->since + kNobodyAsks,
-                               drain_->heard.value_or(Instant::max() - kFrontTurns) + kFrontTurns);
+    return clock_() >= std::min(drain_->since + kDrainWithoutHealthCheck,
+                                drain_->first_health_check.value_or(Instant::max() - kBalancerReaction) +
+                                    kBalancerReaction);
 }
 
-bool Gatekeeper::takes_none() const {
-    return drain_ && time_() - drain_->since >= kNoMoreSetUps;
+bool Gatekeeper::refuses_set_ups() const {
+    return drain_ && clock_() - drain_->since >= kRefusalsDuringDrain;
 }
 
 bool Gatekeeper::is_ready() {
-    if (drain_ && !drain_->heard) drain_->heard = time_();
+    if (drain_ && !drain_->first_health_check) drain_->first_health_check = clock_();
     if (drain_) return false;
     if (successor_) return true;
-    if (leaving_) return false;
-    if (time_() - started_ >= kReadyAnyway) return true;
+    if (shutting_down_) return false;
+    if (clock_() - started_ >= kReadyWithoutReports) return true;
     return !exchanges_.empty() &&
            std::all_of(exchanges_.begin(), exchanges_.end(), [this](const auto& known) {
-               const Exchange& x = known.second;
-               return x.group_known || x.state != ExchangeState::ready || x.number == settings_.own_exchange;
+               const Exchange& exchange = known.second;
+               return exchange.group_known || exchange.state != ExchangeState::ready ||
+                      exchange.number == settings_.own_exchange;
            });
 }
 
 void Gatekeeper::on_caller_connected(CallerLink& link) {
-    links_.push_back(&link);
-    for (const Owed& owed : std::exchange(owed_, {})) link.release(owed.call, owed.ending);
+    caller_links_.push_back(&link);
+    for (const PendingRelease& pending : std::exchange(pending_releases_, {}))
+        link.release(pending.call, pending.reason);
 }
 
 void Gatekeeper::on_caller_disconnected(CallerLink& link) {
-    std::erase(links_, &link);
+    std::erase(caller_links_, &link);
     std::vector<CallId> open;
     for (auto& [id, call] : calls_) {
         if (call.link != &link) continue;
-        call.link = nullptr;  // and with it its use
+        call.link = nullptr;  // its usage is gone with it
         if (call.phase != Phase::standing) open.push_back(id);
     }
     for (const CallId& id : open) {
-        const auto at = calls_.find(id);
-        if (at == calls_.end()) continue;
+        const auto entry = calls_.find(id);
+        if (entry == calls_.end()) continue;
         ++counters_.abandoned;
-        abandon(at);
+        abandon(entry);
     }
 }
 
-// A standing call belongs to no connection: its release goes on its own one, else on the newest of the same
-// caller, else on any, else on the next that is opened.
-void Gatekeeper::release_caller(const CallId& id, const Call& call, ReleaseReason ending) {
+// A standing call outlives its connection. Its release is sent on the connection that it came on, else on the
+// newest one of the same caller, else on any, else on the next one that is opened.
+void Gatekeeper::release_caller(const CallId& id, const Call& call, ReleaseReason reason) {
     CallerLink* link = call.link;
-    if (!link && !links_.empty()) {
-        const auto same = std::find_if(links_.rbegin(), links_.rend(), [&call](const CallerLink* other) {
-            return other->origin() == call.origin;
-        });
-        link = same == links_.rend() ? links_.back() : *same;
+    if (!link && !caller_links_.empty()) {
+        const auto same_caller =
+            std::find_if(caller_links_.rbegin(), caller_links_.rend(),
+                         [&call](const CallerLink* other) { return other->origin() == call.origin; });
+        link = same_caller == caller_links_.rend() ? caller_links_.back() : *same_caller;
     }
-    if (link) return link->release(id, ending);
-    if (owed_.size() < kReleasesOwed) owed_.push_back({id, ending});
+    if (link) return link->release(id, reason);
+    if (pending_releases_.size() < kMaxPendingReleases) pending_releases_.push_back({id, reason});
 }
 
 void Gatekeeper::refuse_all() {
@@ -376,59 +392,62 @@
     for (const auto& [id, call] : calls_)
         if (call.phase != Phase::standing) open.push_back(id);
     for (const CallId& id : open) {
-        const auto at = calls_.find(id);
-        if (at == calls_.end()) continue;
+        const auto entry = calls_.find(id);
+        if (entry == calls_.end()) continue;
         ++counters_.refused;
-        CallerLink* const link = at->second.link;
-        const std::string service_class = at->second.service_class;
-        abandon(at);  // the module hears of it too
+        CallerLink* const link = entry->second.link;
+        const std::string service_class = entry->second.service_class;
+        abandon(entry);  // reports the end to the decision module
         refuse_or_fail(link, id, service_class, ReleaseReason::refused);
     }
 }
 
-// ---- Carrier switches ------------------------------------------------------------------------------
+// ---- Carrier switches -------------------------------------------------------------------------------
 
 void Gatekeeper::on_answer(const ExchangeId& exchange, const CallId& id, std::string_view description) {
-    const auto at = calls_.find(id);
-    if (at == calls_.end() || at->second.phase == Phase::waiting || at->second.at != exchange) {
-        // The answer crossed a give-up: the call may stand there, with nobody at this end.
+    const auto entry = calls_.find(id);
+    if (entry == calls_.end() || entry->second.phase == Phase::waiting ||
+        entry->second.exchange != exchange) {
+        // The answer has crossed a cancellation: the call may be connected there, but has no caller here.
         ++counters_.crossed;
         return switches_.release(exchange, id);
     }
-    Call& call = at->second;
-    if (call.phase == Phase::standing) return;  // told twice
+    Call& call = entry->second;
+    if (call.phase == Phase::standing) return;  // reported twice
     call.phase = Phase::standing;
-    settle_answer(call);
+    close_set_up(call);
     ++counters_.stood;
     ++counters_.answered;
     if (call.link) ++call.link->usage.standing_calls;
     if (call.link) {
-        count(call.service_class, &Replies::served);
+        count_reply(call.service_class, &Replies::served);
         call.link->answer(id, std::make_shared<const std::string>(description));
     }
-    tell(CallStands{id, call.attempts - 1, exchange, time_() - call.sent});
-    if (successor_) pass_on(at);
+    handle_event(CallStands{id, call.attempts - 1, exchange, clock_() - call.sent_at});
+    if (successor_) hand_over(entry);
 }
 
 void Gatekeeper::on_call_ended(const ExchangeId& exchange, const CallId& id, Outcome outcome, Cause cause,
                                const LoadReport& load) {
-    const auto at = calls_.find(id);
-    if (at == calls_.end() || at->second.phase == Phase::waiting || at->second.at != exchange) {
-        if (at == calls_.end() && successor_) successor_->hand_over_end(exchange, id, outcome);
-        return on_group_state(exchange, load);  // late; its report is still news
+    const auto entry = calls_.find(id);
+    if (entry == calls_.end() || entry->second.phase == Phase::waiting ||
+        entry->second.exchange != exchange) {
+        if (entry == calls_.end() && successor_) successor_->hand_over_end(exchange, id, outcome);
+        return on_group_state(exchange,
+                              load);  // too late for the call, but the report on the circuits is of use
     }
-    if (at->second.phase == Phase::standing)
-        return end_standing(at, outcome == Outcome::ended ? Outcome::ended : Outcome::reset, load, true);
-    // The end of a call that has not stood here: its answer was lost on the way. Guards against an end taken
-    // for the exchange's answer: the length of the call would count as the time that it takes to answer.
-    end_attempt(at, outcome == Outcome::ended ? Outcome::reset : outcome, cause, load);
+    if (entry->second.phase == Phase::standing)
+        return end_standing(entry, outcome == Outcome::ended ? Outcome::ended : Outcome::reset, load, true);
+    // A call that was never answered here has ended in the normal way: its answer was lost. The end must not
+    // count as the exchange's answer, or the length of the call would count as the time to answer.
+    end_attempt(entry, outcome == Outcome::ended ? Outcome::reset : outcome, cause, load);
 }
 
-void Gatekeeper::end_attempt(Calls::iterator at, Outcome outcome, Cause cause, const LoadReport& load) {
-    Call& call = at->second;
+void Gatekeeper::end_attempt(Calls::iterator entry, Outcome outcome, Cause cause, const LoadReport& load) {
+    Call& call = entry->second;
     call.phase = Phase::waiting;
-    unschedule(call.time_out);
-    const Instant now = time_();
+    cancel_timer(call.attempt_timer);
+    const Instant now = clock_();
     if (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled)
         call.not_before = now + settings_.release_wait;
     counters_.turned_back += outcome == Outcome::turned_back;
@@ -436,49 +455,51 @@
     counters_.reset += outcome == Outcome::reset;
     counters_.unreachable += outcome == Outcome::unreachable;
     counters_.moot += outcome == Outcome::not_sent;
-    tell(AttemptEnded{.call = at->first,
-                      .attempt = call.attempts - 1,
-                      .exchange = call.at,
-                      .outcome = outcome,
-                      .cause = cause,
-                      .final = false,
-                      .lag = now - call.sent,
-                      .load = load});
+    handle_event(AttemptEnded{.call = entry->first,
+                              .attempt = call.attempts - 1,
+                              .exchange = call.exchange,
+                              .outcome = outcome,
+                              .cause = cause,
+                              .final = false,
+                              .lag = now - call.sent_at,
+                              .load = load});
 }
 
 void Gatekeeper::on_group_state(const ExchangeId& exchange, const LoadReport& load) {
     if (load.free_circuits < 0 || load.group_size < 0) return;
     ++counters_.group_states;
-    if (const auto at = exchanges_.find(exchange); at != exchanges_.end()) at->second.group_known = true;
-    tell(ExchangeReport{.exchange = exchange, .load = load});
+    if (const auto entry = exchanges_.find(exchange); entry != exchanges_.end())
+        entry->second.group_known = true;
+    handle_event(ExchangeReport{.exchange = exchange, .load = load});
 }
 
 void Gatekeeper::on_process_failed(const ExchangeId& exchange) {
     cut_standing(exchange);
 }
 
-// ---- The list --------------------------------------------------------------------------------------
+// ---- The list of exchanges --------------------------------------------------------------------------
 
 void Gatekeeper::apply_list(const ListEvent& event) {
     ++counters_.list_events;
-    ExchangeList told{.kind = event.kind, .version = event.version, .entries = {}};
+    ExchangeList list{.kind = event.kind, .version = event.version, .entries = {}};
     std::set<ExchangeId> dead;
     if (event.kind != ListKind::changes)
-        for (auto& [id, x] : exchanges_) x.state = ExchangeState::gone;  // unless it is in the list
+        for (auto& [id, exchange] : exchanges_)
+            exchange.state = ExchangeState::gone;  // unless it is among the entries below
     for (const ListedExchange& listed : event.entries) {
-        const ExchangeEntry& e = listed.entry;
-        told.entries.push_back(e);
-        const auto [at, fresh] = exchanges_.try_emplace(e.exchange);
-        Exchange& x = at->second;
-        // A fresh start of the same machine: its process has died, and its calls with it.
-        if (!fresh && x.started != e.started) dead.insert(e.exchange);
-        x.state = e.state;
-        x.started = e.started;
-        x.number = e.number;
+        const ExchangeEntry& entry = listed.entry;
+        list.entries.push_back(entry);
+        const auto [known, is_new] = exchanges_.try_emplace(entry.exchange);
+        Exchange& exchange = known->second;
+        // The same machine has another start time: its process has died, and its calls with it.
+        if (!is_new && exchange.started != entry.started) dead.insert(entry.exchange);
+        exchange.state = entry.state;
+        exchange.started = entry.started;
+        exchange.number = entry.number;
     }
-    for (const auto& [id, x] : exchanges_)
-        if (x.state == ExchangeState::gone) dead.insert(id);
-    tell(std::move(told));
+    for (const auto& [id, exchange] : exchanges_)
+        if (exchange.state == ExchangeState::gone) dead.insert(id);
+    handle_event(std::move(list));
     for (const ExchangeId& id : dead) cut_standing(id);
     std::erase_if(exchanges_, [](const auto& known) { return known.second.state == ExchangeState::gone; });
 }
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -1,6 +1,7 @@
-// The table of calls and attempts: turns what callers, carrier switches and the list say into the module's
-// events, and its actions into answers and set-ups. Makes no decision, knows no codec and no socket, and
-// reads no clock: the time comes with `Time`, and the host wakes it at next_due().
+// The call table. It turns what comes from callers, carrier switches and the control feed into events for the
+// decision module (CallControl), and carries out the module's actions as set-ups, cancellations and final
+// answers. It makes no decision of its own, does no I/O and knows no message format. It reads the time from
+// the Clock that it is given; the owner calls run_timers() at the times that the timer handler announces.
 #pragma once
 
 #include <deque>
@@ -17,116 +18,138 @@
 
 namespace nettlestall::calls {
 
+// A call is in the table from its set-up until its final answer, and an answered call until its end.
 class Gatekeeper final : public CallerEvents, public SwitchEvents, public CallTable {
    public:
     using Clock = std::function<Instant()>;
 
-    // Beyond these set-ups are refused at once, with the cause that makes trying again harmless.
+    // Limits that keep the memory bounded. Beyond them a set-up is refused at once, with the cause after
+    // which a caller may dial again.
     struct Bounds {
-        std::size_t max_description_bytes =
-            32 * 1024 * 1024;               // bytes of descriptions of calls without an answer
-        std::size_t max_calls = 1'000'000;  // without an answer and standing together
+        std::size_t max_description_bytes = 32 * 1024 * 1024;  // of all calls without a final answer
+        std::size_t max_calls = 1'000'000;  // calls without a final answer and standing calls
     };
-    Gatekeeper(const Settings& settings, std::uint64_t seed, Clock time, Switches& switches,
+    // `switches` and `counters` have to outlive the gatekeeper. `seed` is for the decision module.
+    Gatekeeper(const Settings& settings, std::uint64_t seed, Clock clock, Switches& switches,
                Counters& counters, const Bounds& bounds);
 
-    // Whoever runs the timers hears of each earlier moment.
-    void set_timer_handler(std::function<void(Instant)> earlier) { earlier_ = std::move(earlier); }
-    void set_note_handler(std::function<void(const std::string&)> note) { note_ = std::move(note); }
+    // `handler` is called with the time of the next timer whenever that is earlier than before, and after
+    // each run_timers() that leaves timers.
+    void set_timer_handler(std::function<void(Instant)> handler) { timer_handler_ = std::move(handler); }
+    // `handler` gets texts for the log: notes of the decision module, and a note when the table is full.
+    void set_note_handler(std::function<void(const std::string&)> handler) {
+        note_handler_ = std::move(handler);
+    }
 
+    // Applies a change to the list of exchanges. Standing calls at an exchange that has gone or was started
+    // anew are cut.
     void apply_list(const ListEvent& event);
+    // Handles all timers that have expired.
     void run_timers();
 
-    // New settings in service: calls, timers and what was learned go on.
+    // Settings can be changed while the gatekeeper serves: calls, timers and what the decision module has
+    // learned are kept. apply_settings() requires can_apply().
     bool can_apply(const Settings& settings) const { return control_.can_take(settings); }
     void apply_settings(const Settings& settings, const Bounds& bounds);
 
-    // From the front's tests on nothing new is wanted. What comes all the same is answered by `end`.
-    void begin_shutdown(Instant end) { leaving_ = true, end_ = end; }
+    // From now on health checks fail, so that the load balancer sends no more callers. Set-ups that come
+    // nevertheless are handled, with a time limit that ends at `end`.
+    void begin_shutdown(Instant end) { shutting_down_ = true, shutdown_end_ = end; }
 
-    // The front is to send callers elsewhere, until the drain ends. Calls that were taken go on as ever.
+    // From drain() to undrain() health checks fail, so that the load balancer sends callers elsewhere. Calls
+    // in the table go on.
     void drain();
     void undrain() { drain_.reset(); }
-    // The front has had the time to turn away: callers' connections may be closed where nothing is open.
+    // Whether the load balancer has had enough time to react to the drain: connections of callers without an
+    // open set-up may now be closed.
     bool can_close_callers() const;
 
-    // Another process takes over: it gets the calls that stand and those that will, and this one answers
-    // what it took. Its front tests pass to the end, for the front sees one gatekeeper. Null: no more.
+    // Hands over to the process that replaces this one: all standing calls now, and later each call that is
+    // answered. Set-ups that were accepted here get their final answer here. Health checks pass until the
+    // end, since both processes are one gatekeeper to the load balancer. Null: there is no successor any
+    // more.
     void hand_over_to(Successor* successor);
-    // What the process before this one passes on.
-    // `link`: where its release goes, if it is not a caller's connection.
-    void accept_standing(const ExchangeId& at, const CallId& call, std::string_view origin,
+    // Adds a standing call that the predecessor process has handed over or that the circuit ledger holds.
+    // `link` gets the call's release; null: a caller's connection gets it.
+    void accept_standing(const ExchangeId& exchange, const CallId& call, std::string_view origin,
                          CallerLink* link = nullptr);
+    // Releases a standing call: its caller's release came to the predecessor process.
     void accept_release(const CallId& call);
 
     struct OldCall {
         CallId call;
         ExchangeId exchange;
-        Duration age;  // since its set-up went there
+        Duration age;  // since its set-up was sent, or since this process took it over
     };
-    std::vector<OldCall> oldest_calls(std::size_t most) const;  // of those that stand, the oldest first
+    // The oldest standing calls, the oldest first.
+    std::vector<OldCall> oldest_calls(std::size_t max_count) const;
 
-    std::size_t unanswered_calls() const { return unanswered_; }
+    // How many calls have no final answer yet, and how many there are with the standing ones.
+    std::size_t unanswered_calls() const { return unanswered_calls_; }
     std::size_t calls() const { return calls_.size(); }
-    struct Replies {  // final answers passed on to callers of one class
+    // Counts of the final answers that callers were sent, for one service class.
+    struct Replies {
         std::string service_class;
-        std::uint64_t served = 0, refused = 0, failed = 0;
+        std::uint64_t served = 0, refused = 0, failed = 0;  // served: the call was answered
     };
     const std::vector<Replies>& replies() const { return replies_; }
     std::size_t listed_exchanges() const { return exchanges_.size(); }
-    std::size_t avoided_exchanges() const { return control_.avoided(); }  // of those listed, by the module
-    // In all tables, the module's too: each is bounded by the calls and exchanges in hand.
+    // How many of the listed exchanges the decision module gives no new set-ups at present.
+    std::size_t avoided_exchanges() const { return control_.avoided(); }
+    // How many entries all tables have, the decision module's included. Each table is bounded by the calls
+    // and exchanges that are known at the time.
     std::size_t table_entries() const;
-    // Every call still without its final answer gets it now.
+    // Refuses every call that has no final answer yet.
     void refuse_all();
 
-    void on_set_up(CallerLink& link, const SetUpRequest& offer) override;
+    void on_set_up(CallerLink& link, const SetUpRequest& request) override;
     void on_release(CallerLink& link, const CallId& call) override;
     bool is_ready() override;
     void on_caller_connected(CallerLink& link) override;
     void on_caller_disconnected(CallerLink& link) override;
 
-    void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) override;
-    void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+    void on_answer(const ExchangeId& exchange, const CallId& call, std::string_view description) override;
+    void on_call_ended(const ExchangeId& exchange, const CallId& call, Outcome outcome, Cause cause,
                        const LoadReport& load) override;
-    void on_group_state(const ExchangeId& at, const LoadReport& load) override;
-    void on_process_failed(const ExchangeId& at) override;
+    void on_group_state(const ExchangeId& exchange, const LoadReport& load) override;
+    void on_process_failed(const ExchangeId& exchange) override;
 
     const ExchangeId* exchange_of(const CallId& call) const override;
     std::string_view origin_of(const CallId& call) const override;
-    std::vector<CallId> calls_at(const ExchangeId& at) const override;
+    std::vector<CallId> calls_at(const ExchangeId& exchange) const override;
     std::vector<CallId> calls_from(const CallerLink& link) const override;
 
    private:
-    enum class Phase { waiting, out, standing };
+    // Waiting: no attempt is under way. Attempting: a set-up was sent and its answer is awaited.
+    enum class Phase { waiting, attempting, standing };
 
-    struct ModuleTimer {
+    struct ModuleTimer {  // set by the decision module
         std::int64_t token;
     };
-    struct AttemptTimeOut {
+    struct AttemptTimeout {  // the time limit of an attempt
         CallId call;
-        int attempt;
+        int attempt;  // counted from 1
     };
-    struct AnswerDue {
+    struct AnswerDeadline {  // the last time for the call's final answer
         CallId call;
     };
-    using Due = std::variant<ModuleTimer, AttemptTimeOut, AnswerDue>;
-    using Timers = std::multimap<Instant, Due>;
+    using Timer = std::variant<ModuleTimer, AttemptTimeout, AnswerDeadline>;
+    using Timers = std::multimap<Instant, Timer>;
 
     struct Call {
-        CallerLink* link = nullptr;  // the connection that it came on, while that is open
+        CallerLink* link = nullptr;  // the connection that it came on; null once that was closed
         std::string origin;          // of that connection
         Phase phase = Phase::waiting;
-        bool transit = false, again = false, redial = false;
+        bool transit = false, was_cut = false, redial = false;
         int destination = kNowhere, width = 1;
         std::string service_class, number;
         Description description;
-        int attempts = 0;
-        ExchangeId at;  // of the attempt that is out, or of the standing call
-        Instant sent{};
-        Instant not_before{};
-        Instant answer_by{};
-        std::optional<Timers::iterator> answer_due, time_out;  // gone with what they guard
+        int attempts = 0;      // set-ups that were sent for it or held back
+        ExchangeId exchange;   // of the attempt under way or of the standing call
+        Instant sent_at{};     // when that attempt was sent or the standing call was taken over
+        Instant not_before{};  // no attempt before this: the exchange may not have released the last one
+        Instant answer_deadline{};
+        std::optional<Timers::iterator> answer_timer, attempt_timer;  // std::nullopt: not set
     };
     using Calls = std::map<CallId, Call>;
 
@@ -134,84 +157,99 @@
         ExchangeState state = ExchangeState::ready;
         Instant started{};
         int number = kNowhere;
-        bool group_known = false;
+        bool group_known = false;  // it has reported the state of its circuits
     };
 
-    // Tells the module, carries out what it says, and goes on with what comes of that.
-    void tell(Event event);
-    bool takes_none() const;  // set-ups come too late in a drain for a connection that must be closed
-    void later(Event event) { events_.push_back(std::move(event)); }
-    Timers::iterator schedule(Instant at, Due due);
-    void unschedule(std::optional<Timers::iterator>& timer);
-    void due(const ModuleTimer& timer);
-    void due(const AttemptTimeOut& timer);
-    void due(const AnswerDue& timer);
-
-    void act(const SetUp& action);
-    void act(const Refuse& action);
-    void act(const Fail& action);
-    void act(const Cancel& action);
-    void act(const SetTimer& action);
-    void act(const Note& action);
-    // Nothing is to be done for these: probes and messages between gatekeepers have no message here, the feed
-    // tells the list unasked, and the one connection to each carrier switch is kept.
-    void act(const Probe&) {}
-    void act(const TellPeers&) {}
-    void act(const FollowList&) {}
-    void act(const AskList&) {}
-    void act(const CloseIdle&) {}
-
-    bool may_set_up(const Call& call, const ExchangeId& at) const;
-    void end_attempt(Calls::iterator at, Outcome outcome, Cause cause, const LoadReport& load);
-    void end_standing(Calls::iterator at, Outcome outcome, const LoadReport& load, bool tell_caller);
-    void final_answer(const CallId& call, ReleaseReason ending);
-    void abandon(Calls::iterator at);
-    void release_caller(const CallId& id, const Call& call, ReleaseReason ending);
-    void settle_answer(Call& call);
-    void pass_on(Calls::iterator standing);
-    void release_standing(Calls::iterator at);
-    // Passes the final answer on where somebody is left to hear it, and counts it there.
+    // Passes the event to the decision module and carries out the actions that come back. Events that the
+    // actions cause are handled in the same way, after all actions that came before.
+    void handle_event(Event event);
+    // Whether a drain has lasted so long that new set-ups are refused.
+    bool refuses_set_ups() const;
+    void queue_event(Event event) { events_.push_back(std::move(event)); }
+    Timers::iterator schedule(Instant when, Timer timer);
+    void cancel_timer(std::optional<Timers::iterator>& timer);
+    void on_timer(const ModuleTimer& timer);
+    void on_timer(const AttemptTimeout& timer);
+    void on_timer(const AnswerDeadline& timer);
+
+    void carry_out(const SetUp& action);
+    void carry_out(const Refuse& action);
+    void carry_out(const Fail& action);
+    void carry_out(const Cancel& action);
+    void carry_out(const SetTimer& action);
+    void carry_out(const Note& action);
+    // These need nothing: the protocol has no message for probes and for messages between gatekeepers, the
+    // control feed sends the list without a request, and the one connection to each carrier switch stays
+    // open.
+    void carry_out(const Probe&) {}
+    void carry_out(const TellPeers&) {}
+    void carry_out(const FollowList&) {}
+    void carry_out(const AskList&) {}
+    void carry_out(const CloseIdle&) {}
+
+    // Whether the rules allow an attempt at this exchange now.
+    bool can_set_up(const Call& call, const ExchangeId& exchange) const;
+    // The call waits again and the decision module is told of the outcome.
+    void end_attempt(Calls::iterator entry, Outcome outcome, Cause cause, const LoadReport& load);
+    // Removes a standing call; the caller is sent its release if `notify_caller`.
+    void end_standing(Calls::iterator entry, Outcome outcome, const LoadReport& load, bool notify_caller);
+    // Refuses or fails a call that has no final answer, and removes it. An attempt under way is cancelled.
+    void send_final_answer(const CallId& call, ReleaseReason reason);
+    // Removes a call whose caller waits no longer. An attempt under way is cancelled.
+    void abandon(Calls::iterator entry);
+    // Sends the caller of a standing call its release.
+    void release_caller(const CallId& id, const Call& call, ReleaseReason reason);
+    // Ends what the table keeps only for a call without a final answer: its timers, counts and texts.
+    void close_set_up(Call& call);
+    // Gives a standing call to the successor and removes it.
+    void hand_over(Calls::iterator entry);
+    // Releases a standing call at its exchange, for its caller, and removes it.
+    void release_standing(Calls::iterator entry);
+    // Sends the final answer to the caller and counts it, if the caller's connection is still there.
     void refuse_or_fail(CallerLink* link, const CallId& id, std::string_view service_class,
-                        ReleaseReason ending);
-    void count(std::string_view service_class, std::uint64_t Replies::*reply);
-    static bool makes_sense(const SetUpRequest& offer, const ClassSettings& service_class);
-    void cut_standing(const ExchangeId& at);
-    bool at_the_bound();  // of calls in the table
+                        ReleaseReason reason);
+    void count_reply(std::string_view service_class, std::uint64_t Replies::*reply);
+    // Whether the set-up can be served at all.
+    static bool is_valid(const SetUpRequest& request, const ClassSettings& service_class);
+    // Ends all standing calls at the exchange as cut.
+    void cut_standing(const ExchangeId& exchange);
+    // Whether Bounds::max_calls is reached. If so, a note names the oldest calls now and then.
+    bool is_table_full();
 
     Settings settings_;
     CallControl control_;
-    Clock time_;
+    Clock clock_;
     Switches& switches_;
     Counters& counters_;
     std::vector<Replies> replies_;  // by class, in the order of the settings
-    std::function<void(Instant)> earlier_;
-    std::function<void(const std::string&)> note_;
+    std::function<void(Instant)> timer_handler_;
+    std::function<void(const std::string&)> note_handler_;
 
     Calls calls_;
-    std::size_t unanswered_ = 0;
-    std::size_t held_ = 0;
+    std::size_t unanswered_calls_ = 0;
+    std::size_t description_bytes_ = 0;  // of the unanswered calls
     Bounds bounds_;
-    Instant next_bound_note_{};
+    Instant next_full_note_{};  // no note of a full table before this
     std::map<ExchangeId, Exchange> exchanges_;
-    std::vector<CallerLink*> links_;
-    struct Owed {
+    std::vector<CallerLink*> caller_links_;  // open connections, the newest last
+    struct PendingRelease {
         CallId call;
-        ReleaseReason ending;
+        ReleaseReason reason;
     };
-    std::vector<Owed> owed_;  // releases for which no caller's connection was open
-    Timers due_;
-    std::deque<Event> events_;
+    std::vector<PendingRelease> pending_releases_;  // sent once a caller connects: none was connected
+    Timers timers_;
+    std::deque<Event> events_;  // to be handled
     std::vector<Action> actions_;
-    bool telling_ = false;
+    bool handling_events_ = false;
     Instant started_{};
     Successor* successor_ = nullptr;
-    bool leaving_ = false;
+    bool shutting_down_ = false;
     struct Drain {
         Instant since{};
-        std::optional<Instant> heard;  // by whoever asked first
+        std::optional<Instant> first_health_check;  // the first one that failed because of the drain
     };
     std::optional<Drain> drain_;
-    Instant end_ = Instant::max();
+    Instant shutdown_end_ = Instant::max();  // every final answer is due by this
 };
 
 }  // namespace nettlestall::calls
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -14,7 +14,7 @@
 // The description of a call's media. It is passed on unchanged and shared, so that it is never copied.
 using Description = std::shared_ptr<const std::string>;
 
-// ---- Callers -------------------------------------------------------------------------------------
+// ---- Callers ----------------------------------------------------------------------------------------
 
 // A set-up from a caller. Its texts are views into the bytes that it came in, and are valid only for as long
 // as the receiver's call runs.
@@ -72,7 +72,7 @@
     ~CallerEvents() = default;
 };
 
-// ---- Carrier switches ------------------------------------------------------------------------------
+// ---- Carrier switches -------------------------------------------------------------------------------
 
 // A set-up that is sent on to a carrier switch or to another hub.
 struct OutgoingSetUp {
@@ -116,7 +116,7 @@
     ~SwitchEvents() = default;
 };
 
-// ---- Queries to the call table ------------------------------------------------------------------
+// ---- Queries to the call table ----------------------------------------------------------------------
 
 // Lets the code that drives the trunk groups compare its own calls with those of the call table.
 class CallTable {
@@ -135,7 +135,7 @@
     ~CallTable() = default;
 };
 
-// ---- The successor process --------------------------------------------------------------------
+// ---- The successor process --------------------------------------------------------------------------
 
 // The process that takes over in an upgrade. It owns all standing calls, whichever process set them up, so
 // everything about them is passed on to it.
@@ -151,7 +151,7 @@
     ~Successor() = default;
 };
 
-// ---- The list of exchanges -------------------------------------------------------------------------
+// ---- The list of exchanges --------------------------------------------------------------------------
 
 struct ListedExchange {
     ExchangeEntry entry;
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -1,4 +1,5 @@
-// The call table: calls that stand, their bound, and who owns them.
+// The part of the call table that concerns standing calls: their end, the limit on their number, queries, and
+// the hand-over to a successor process.
 #include <algorithm>
 #include <utility>
 
@@ -7,50 +8,52 @@
 namespace nettlestall::calls {
 namespace {
 
-constexpr Duration kBoundNotes = std::chrono::seconds(10);  // between two of them
+constexpr Duration kTableFullNoteInterval = std::chrono::seconds(10);  // the shortest time between two notes
 
 }  // namespace
 
-// ---- Their end -------------------------------------------------------------------------------------
+// ---- The end of a standing call ---------------------------------------------------------------------
 
-void Gatekeeper::release_standing(Calls::iterator at) {
+void Gatekeeper::release_standing(Calls::iterator entry) {
     ++counters_.released;
-    switches_.release(at->second.at, at->first);
-    end_standing(at, Outcome::cancelled, {}, false);
+    switches_.release(entry->second.exchange, entry->first);
+    end_standing(entry, Outcome::cancelled, {}, false);
 }
 
-void Gatekeeper::end_standing(Calls::iterator at, Outcome outcome, const LoadReport& load, bool tell_caller) {
-    const CallId id = at->first;
-    const Call call = std::move(at->second);
-    calls_.erase(at);
+void Gatekeeper::end_standing(Calls::iterator entry, Outcome outcome, const LoadReport& load,
+                              bool notify_caller) {
+    const CallId id = entry->first;
+    const Call call = std::move(entry->second);
+    calls_.erase(entry);
     if (call.link) --call.link->usage.standing_calls;
     ++(outcome == Outcome::reset ? counters_.cut : counters_.ended);
-    if (tell_caller)
+    if (notify_caller)
         release_caller(id, call, outcome == Outcome::reset ? ReleaseReason::cut : ReleaseReason::ended);
-    tell(AttemptEnded{.call = id,
-                      .attempt = call.attempts - 1,
-                      .exchange = call.at,
-                      .outcome = outcome,
-                      .final = true,
-                      .lag = time_() - call.sent,
-                      .load = load});
+    handle_event(AttemptEnded{.call = id,
+                              .attempt = call.attempts - 1,
+                              .exchange = call.exchange,
+                              .outcome = outcome,
+                              .final = true,
+                              .lag = clock_() - call.sent_at,
+                              .load = load});
 }
 
 void Gatekeeper::cut_standing(const ExchangeId& exchange) {
     std::vector<CallId> standing;
     for (const auto& [id, call] : calls_)
-        if (call.phase == Phase::standing && call.at == exchange) standing.push_back(id);
+        if (call.phase == Phase::standing && call.exchange == exchange) standing.push_back(id);
     for (const CallId& id : standing)
-        if (const auto at = calls_.find(id); at != calls_.end()) end_standing(at, Outcome::reset, {}, true);
+        if (const auto entry = calls_.find(id); entry != calls_.end())
+            end_standing(entry, Outcome::reset, {}, true);
 }
 
-// ---- Their bound -----------------------------------------------------------------------------------
+// ---- The limit on the number of calls ---------------------------------------------------------------
 
-std::vector<Gatekeeper::OldCall> Gatekeeper::oldest_calls(std::size_t most) const {
+std::vector<Gatekeeper::OldCall> Gatekeeper::oldest_calls(std::size_t max_count) const {
     std::vector<OldCall> found;
     for (const auto& [id, call] : calls_)
-        if (call.phase == Phase::standing) found.push_back({id, call.at, time_() - call.sent});
-    const auto end = found.begin() + static_cast<std::ptrdiff_t>(std::min(most, found.size()));
+        if (call.phase == Phase::standing) found.push_back({id, call.exchange, clock_() - call.sent_at});
+    const auto end = found.begin() + static_cast<std::ptrdiff_t>(std::min(max_count, found.size()));
     std::partial_sort(found.begin(), end, found.end(), [](const OldCall& a, const OldCall& b) {
         return a.age != b.age ? a.age > b.age : a.call < b.call;
     });
@@ -58,39 +61,40 @@
     return found;
 }
 
-// Guards the memory against calls whose end never comes. Whoever reads the log hears of the oldest, now and
-// then: they are the likeliest to be over.
-bool Gatekeeper::at_the_bound() {
+// Calls whose end is never reported must not fill the memory. The note names the oldest calls, since they are
+// the most likely to be over.
+bool Gatekeeper::is_table_full() {
     if (calls_.size() < bounds_.max_calls) return false;
-    if (note_ && time_() >= next_bound_note_) {
-        next_bound_note_ = time_() + kBoundNotes;
+    if (note_handler_ && clock_() >= next_full_note_) {
+        next_full_note_ = clock_() + kTableFullNoteInterval;
         std::string text = "the table is full with " + std::to_string(calls_.size()) + " calls; the oldest:";
-        for (const OldCall& old : oldest_calls(3))
-            text += " " + old.call + " at " + old.exchange + " for " +
-                    std::to_string(std::chrono::duration_cast<std::chrono::seconds>(old.age).count()) + " s;";
-        note_(text);
+        for (const OldCall& old_call : oldest_calls(3))
+            text += " " + old_call.call + " at " + old_call.exchange + " for " +
+                    std::to_string(std::chrono::duration_cast<std::chrono::seconds>(old_call.age).count()) +
+                    " s;";
+        note_handler_(text);
     }
     return true;
 }
 
-// ---- Looked into -----------------------------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------------------------------
 
 const ExchangeId* Gatekeeper::exchange_of(const CallId& call) const {
-    const auto at = calls_.find(call);
+    const auto entry = calls_.find(call);
     static const ExchangeId kNone;
-    if (at == calls_.end()) return nullptr;
-    return at->second.phase == Phase::waiting ? &kNone : &at->second.at;
+    if (entry == calls_.end()) return nullptr;
+    return entry->second.phase == Phase::waiting ? &kNone : &entry->second.exchange;
 }
 
 std::string_view Gatekeeper::origin_of(const CallId& call) const {
-    const auto at = calls_.find(call);
-    return at == calls_.end() ? std::string_view{} : std::string_view(at->second.origin);
+    const auto entry = calls_.find(call);
+    return entry == calls_.end() ? std::string_view{} : std::string_view(entry->second.origin);
 }
 
 std::vector<CallId> Gatekeeper::calls_at(const ExchangeId& exchange) const {
     std::vector<CallId> found;
     for (const auto& [id, call] : calls_)
-        if (call.phase != Phase::waiting && call.at == exchange) found.push_back(id);
+        if (call.phase != Phase::waiting && call.exchange == exchange) found.push_back(id);
     return found;
 }
 
@@ -101,7 +105,7 @@
     return found;
 }
 
-// ---- Another process -------------------------------------------------------------------------------
+// ---- The successor process --------------------------------------------------------------------------
 
 void Gatekeeper::hand_over_to(Successor* successor) {
     successor_ = successor;
@@ -109,42 +113,44 @@
     for (const auto& [id, call] : calls_)
         if (call.phase == Phase::standing) standing.push_back(id);
     for (const CallId& id : standing)
-        if (const auto at = calls_.find(id); successor_ && at != calls_.end()) pass_on(at);
+        if (const auto entry = calls_.find(id); successor_ && entry != calls_.end()) hand_over(entry);
 }
 
-// Guards against releases that nobody passes on once this process has ended: from now on the other one owns
-// the call. The module here sees it as over.
-void Gatekeeper::pass_on(Calls::iterator standing) {
-    const CallId id = standing->first;
-    const Call call = std::move(standing->second);
-    calls_.erase(standing);
+// From now on the successor owns the call: nobody would pass on its release once this process has ended. To
+// the decision module here the call is over.
+void Gatekeeper::hand_over(Calls::iterator entry) {
+    const CallId id = entry->first;
+    const Call call = std::move(entry->second);
+    calls_.erase(entry);
     if (call.link) --call.link->usage.standing_calls;
-    successor_->hand_over_call(call.at, id, call.origin);
-    tell(AttemptEnded{.call = id, .attempt = call.attempts - 1, .exchange = call.at, .final = true});
+    successor_->hand_over_call(call.exchange, id, call.origin);
+    handle_event(
+        AttemptEnded{.call = id, .attempt = call.attempts - 1, .exchange = call.exchange, .final = true});
 }
 
-void Gatekeeper::accept_standing(const ExchangeId& at, const CallId& id, std::string_view origin,
+void Gatekeeper::accept_standing(const ExchangeId& exchange, const CallId& id, std::string_view origin,
                                  CallerLink* link) {
-    if (successor_) return successor_->hand_over_call(at, id, origin);  // upgraded again meanwhile
-    const auto [entry, fresh] = calls_.try_emplace(id);
-    if (!fresh) return;
+    if (successor_)
+        return successor_->hand_over_call(exchange, id, origin);  // there is a newer process already
+    const auto [entry, is_new] = calls_.try_emplace(id);
+    if (!is_new) return;
     ++counters_.calls_taken_over;
     Call& call = entry->second;
     call.phase = Phase::standing;
-    call.at = at;
+    call.exchange = exchange;
     call.origin = origin;
     call.link = link;
     if (link) ++link->usage.standing_calls;
-    call.sent = time_();
+    call.sent_at = clock_();
     call.attempts = 1;
-    // The machine has gone, as this process knows already: the call was cut with it.
-    if (!exchanges_.count(at)) end_standing(entry, Outcome::reset, {}, true);
+    // This process knows that the machine has gone: the call was cut with it.
+    if (!exchanges_.count(exchange)) end_standing(entry, Outcome::reset, {}, true);
 }
 
 void Gatekeeper::accept_release(const CallId& id) {
-    const auto at = calls_.find(id);
-    if (at != calls_.end() && at->second.phase == Phase::standing) return release_standing(at);
-    if (at == calls_.end() && successor_) successor_->hand_over_release(id);
+    const auto entry = calls_.find(id);
+    if (entry != calls_.end() && entry->second.phase == Phase::standing) return release_standing(entry);
+    if (entry == calls_.end() && successor_) successor_->hand_over_release(id);
 }
 
 }  // namespace nettlestall::calls
--- a/src/protocol/handover.cpp
+++ b/src/protocol/handover.cpp
@@ -41,7 +41,8 @@
 // Takes a length off the front of `from`, which has to hold one.
 std::size_t read_length(std::string_view& from) {
     std::size_t length = 0;
-    for (std::size_t i = 0; i < kLengthFieldBytes; ++i) length = length << 8 | static_cast<unsigned char>(from[i]);
+    for (std::size_t i = 0; i < kLengthFieldBytes; ++i)
+        length = length << 8 | static_cast<unsigned char>(from[i]);
     from.remove_prefix(kLengthFieldBytes);
     return length;
 }
