--- a/tests/net/calls_test.cpp
+++ b/tests/net/calls_test.cpp
@@ -1,4 +1,4 @@
-// The call table with a clock, callers and carrier switches of the test's own.
+// Tests of the call table, with a simulated clock, caller and carrier switches.
 #include <map>
 #include <set>
 #include <string>
@@ -13,47 +13,52 @@
 
 namespace {
 
-struct Link final : CallerLink {
-    std::string from = "a";
-    std::map<CallId, std::vector<std::string>> heard;
-    void answer(const CallId& call, Description d) override { heard[call].push_back("answer " + *d); }
-    void release(const CallId& call, ReleaseReason ending) override {
+// A caller's connection that records what the caller is sent, by call.
+struct RecordingLink final : CallerLink {
+    std::string name = "a";
+    std::map<CallId, std::vector<std::string>> messages;
+    void answer(const CallId& call, Description description) override {
+        messages[call].push_back("answer " + *description);
+    }
+    void release(const CallId& call, ReleaseReason reason) override {
         const char* const names[] = {"refused", "failed", "ended", "cut"};
-        heard[call].push_back(names[static_cast<int>(ending)]);
+        messages[call].push_back(names[static_cast<int>(reason)]);
     }
-    std::string_view origin() const override { return from; }
+    std::string_view origin() const override { return name; }
 };
 
-struct World final : Switches {
-    struct Sent {
-        ExchangeId at;
+// A gatekeeper with one caller's connection and three exchanges: its own, s-0, and s-1 and s-2. It records
+// what the exchanges are sent.
+struct TestHub final : Switches {
+    struct SentSetUp {
+        ExchangeId exchange;
         CallId call;
-        Duration wait;
+        Duration time_limit;
         std::string description;
     };
     Instant now = 1'000'000s;
-    std::vector<Sent> sent;
-    std::vector<std::pair<ExchangeId, CallId>> given_up, released;
+    std::vector<SentSetUp> set_ups;
+    std::vector<std::pair<ExchangeId, CallId>> cancelled, released;
     Counters counters;
     calls::Gatekeeper gatekeeper;
-    Link link;
+    RecordingLink link;
 
     static Settings settings() {
-        Settings s;
-        s.own_exchange = 0;
-        s.controls = 3;
-        s.max_attempts = 5;
-        s.release_wait = 300ms;
-        s.drain_grace = 500ms;
-        ClassSettings c;
-        c.name = "move";
-        c.aim = 2s;
-        c.deadline = 9s;
-        s.classes = {c};
-        return s;
+        Settings settings;
+        settings.own_exchange = 0;
+        settings.controls = 3;
+        settings.max_attempts = 5;
+        settings.release_wait = 300ms;
+        settings.drain_grace = 500ms;
+        ClassSettings service_class;
+        service_class.name = "move";
+        service_class.aim = 2s;
+        service_class.deadline = 9s;
+        settings.classes = {service_class};
+        return settings;
     }
-    static ListEvent all(std::initializer_list<std::pair<const char*, ExchangeState>> states,
-                         ListKind kind = ListKind::remembered) {
+    static ListEvent list_of(std::initializer_list<std::pair<const char*, ExchangeState>> states,
+                             ListKind kind = ListKind::remembered) {
         ListEvent event{.number = 1, .has_list = true, .kind = kind, .version = 1, .entries = {}};
         for (const auto& [id, state] : states) {
             ListedExchange& listed = event.entries.emplace_back();
@@ -62,444 +67,471 @@
         }
         return event;
     }
-    explicit World(std::size_t most_held = 1'000'000, std::size_t most_calls = 1'000'000)
+    explicit TestHub(std::size_t max_description_bytes = 1'000'000, std::size_t max_calls = 1'000'000)
         : gatekeeper(settings(), 5, [this] { return now; }, *this, counters,
-                     {.max_description_bytes = most_held, .max_calls = most_calls}) {
-        gatekeeper.apply_list(all(
+                     {.max_description_bytes = max_description_bytes, .max_calls = max_calls}) {
+        gatekeeper.apply_list(list_of(
             {{"s-0", ExchangeState::ready}, {"s-1", ExchangeState::ready}, {"s-2", ExchangeState::ready}}));
         gatekeeper.on_caller_connected(link);
     }
-    void circuits(const ExchangeId& at, int free) {
+    void report_circuits(const ExchangeId& exchange, int free) {
         LoadReport load;
         load.free_circuits = free, load.group_size = 20;
-        gatekeeper.on_group_state(at, load);
+        gatekeeper.on_group_state(exchange, load);
     }
-    void open() { circuits("s-1", 20), circuits("s-2", 20); }
-    void offer(const CallId& call, int to = 1, Duration patience = 3s, bool transit = false) {
-        SetUpRequest o;
-        o.call = call, o.service_class = "move", o.number = call, o.description = "offer";
-        o.time_left = patience, o.destination = to, o.width = 1, o.transit = transit;
-        gatekeeper.on_set_up(link, o);
+    void report_all_circuits() { report_circuits("s-1", 20), report_circuits("s-2", 20); }
+    void send_set_up(const CallId& call, int to = 1, Duration time_left = 3s, bool transit = false) {
+        SetUpRequest request;
+        request.call = call, request.service_class = "move", request.number = call,
+        request.description = "offer";
+        request.time_left = time_left, request.destination = to, request.width = 1, request.transit = transit;
+        gatekeeper.on_set_up(link, request);
     }
-    void pass(Duration time) {
+    // Lets time pass in steps of 1 ms.
+    void advance(Duration time) {
         for (const Instant end = now + time; now < end;) now += 1ms, gatekeeper.run_timers();
     }
-    std::vector<std::string> heard(const CallId& call) { return link.heard[call]; }
+    std::vector<std::string> messages_for(const CallId& call) { return link.messages[call]; }
 
-    void set_up(const ExchangeId& at, const OutgoingSetUp& f) override {
-        sent.push_back({at, f.call, f.time_limit, *f.description});
+    void set_up(const ExchangeId& exchange, const OutgoingSetUp& set_up) override {
+        set_ups.push_back({exchange, set_up.call, set_up.time_limit, *set_up.description});
+    }
+    void cancel(const ExchangeId& exchange, const CallId& call) override {
+        cancelled.emplace_back(exchange, call);
+    }
+    void release(const ExchangeId& exchange, const CallId& call) override {
+        released.emplace_back(exchange, call);
     }
-    void cancel(const ExchangeId& at, const CallId& call) override { given_up.emplace_back(at, call); }
-    void release(const ExchangeId& at, const CallId& call) override { released.emplace_back(at, call); }
 };
 
-using Words = std::vector<std::string>;
+using Messages = std::vector<std::string>;
 
-void a_call_stands_and_ends_once() {
-    World w;
-    CHECK(!w.gatekeeper.is_ready());
-    w.open();
-    CHECK(w.gatekeeper.is_ready());
-    w.offer("a");
-    CHECK(w.sent.size() == 1 && w.sent[0].at == "s-1" && w.sent[0].description == "offer");
-    CHECK(w.sent[0].wait > 2s && w.sent[0].wait <= 3s);
-    w.offer("a");  // repeated
-    CHECK(w.counters.repeated == 1 && w.gatekeeper.unanswered_calls() == 1);
-    w.gatekeeper.on_answer("s-1", "a", "answer");
-    w.gatekeeper.on_answer("s-1", "a", "answer");
-    CHECK(w.heard("a") == Words{"answer answer"});
-    w.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
-    w.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
-    w.pass(10s);
-    CHECK((w.heard("a") == Words{"answer answer", "ended"}));
-    CHECK(w.sent.size() == 1 && w.gatekeeper.calls() == 0 && w.released.empty());
+void answers_and_ends_call_once() {
+    TestHub hub;
+    CHECK(!hub.gatekeeper.is_ready());
+    hub.report_all_circuits();
+    CHECK(hub.gatekeeper.is_ready());
+    hub.send_set_up("a");
+    CHECK(hub.set_ups.size() == 1 && hub.set_ups[0].exchange == "s-1" &&
+          hub.set_ups[0].description == "offer");
+    CHECK(hub.set_ups[0].time_limit > 2s && hub.set_ups[0].time_limit <= 3s);
+    hub.send_set_up("a");  // repeated
+    CHECK(hub.counters.repeated == 1 && hub.gatekeeper.unanswered_calls() == 1);
+    hub.gatekeeper.on_answer("s-1", "a", "answer");
+    hub.gatekeeper.on_answer("s-1", "a", "answer");
+    CHECK(hub.messages_for("a") == Messages{"answer answer"});
+    hub.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
+    hub.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
+    hub.advance(10s);
+    CHECK((hub.messages_for("a") == Messages{"answer answer", "ended"}));
+    CHECK(hub.set_ups.size() == 1 && hub.gatekeeper.calls() == 0 && hub.released.empty());
 }
 
-void what_cannot_be_served_is_answered_at_once() {
-    World w;
-    w.open();
-    SetUpRequest o;
-    o.call = "x", o.service_class = "unheard of", o.destination = 1, o.width = 1, o.time_left = 1s;
-    w.gatekeeper.on_set_up(w.link, o);
-    CHECK(w.heard("x") == Words{"failed"});
-    o.call = "wide", o.service_class = "move", o.width = 400;
-    w.gatekeeper.on_set_up(w.link, o);
-    o.call = "nobody waits", o.width = 1, o.time_left = 0s;
-    w.gatekeeper.on_set_up(w.link, o);
-    CHECK(w.heard("wide") == Words{"failed"} && w.heard("nobody waits") == Words{"failed"});
-    w.offer("far", 9);
-    CHECK(w.heard("far") == Words{"refused"});
-    World small(3);
-    small.open();
-    small.offer("big");
-    CHECK(small.heard("big") == Words{"refused"});
+void answers_unservable_set_ups_at_once() {
+    TestHub hub;
+    hub.report_all_circuits();
+    SetUpRequest request;
+    request.call = "x", request.service_class = "unknown", request.destination = 1, request.width = 1,
+    request.time_left = 1s;
+    hub.gatekeeper.on_set_up(hub.link, request);
+    CHECK(hub.messages_for("x") == Messages{"failed"});
+    request.call = "wide", request.service_class = "move", request.width = 400;
+    hub.gatekeeper.on_set_up(hub.link, request);
+    request.call = "nobody waits", request.width = 1, request.time_left = 0s;
+    hub.gatekeeper.on_set_up(hub.link, request);
+    CHECK(hub.messages_for("wide") == Messages{"failed"} &&
+          hub.messages_for("nobody waits") == Messages{"failed"});
+    hub.send_set_up("far", 9);
+    CHECK(hub.messages_for("far") == Messages{"refused"});
+    TestHub small(3);
+    small.report_all_circuits();
+    small.send_set_up("big");
+    CHECK(small.messages_for("big") == Messages{"refused"});
 }
 
-void a_set_up_belongs_to_its_connection() {
-    World w;
-    w.open();
-    Link stranger;
-    w.gatekeeper.on_caller_connected(stranger);
-    w.offer("a");
-    SetUpRequest o;
-    o.call = "a", o.service_class = "move", o.destination = 1, o.width = 1, o.time_left = 1s;
-    w.gatekeeper.on_set_up(stranger, o);  // the id of an open set-up
-    CHECK(stranger.heard["a"] == Words{"failed"} && w.heard("a").empty());
-    w.gatekeeper.on_release(stranger, "a");
-    CHECK(w.given_up.empty() && w.link.usage.open_set_ups == 1);
-    w.gatekeeper.on_answer("s-1", "a", "d");
-    CHECK(w.heard("a") == Words{"answer d"} && w.link.usage.open_set_ups == 0 &&
-          w.link.usage.standing_calls == 1);
-    w.gatekeeper.on_release(stranger, "a");  // a call that stands belongs to none
-    CHECK(w.released.size() == 1 && w.link.usage.standing_calls == 0);
+void only_own_connection_cancels_set_up() {
+    TestHub hub;
+    hub.report_all_circuits();
+    RecordingLink stranger;
+    hub.gatekeeper.on_caller_connected(stranger);
+    hub.send_set_up("a");
+    SetUpRequest request;
+    request.call = "a", request.service_class = "move", request.destination = 1, request.width = 1,
+    request.time_left = 1s;
+    hub.gatekeeper.on_set_up(stranger, request);  // the id of an open set-up
+    CHECK(stranger.messages["a"] == Messages{"failed"} && hub.messages_for("a").empty());
+    hub.gatekeeper.on_release(stranger, "a");
+    CHECK(hub.cancelled.empty() && hub.link.usage.open_set_ups == 1);
+    hub.gatekeeper.on_answer("s-1", "a", "d");
+    CHECK(hub.messages_for("a") == Messages{"answer d"} && hub.link.usage.open_set_ups == 0 &&
+          hub.link.usage.standing_calls == 1);
+    hub.gatekeeper.on_release(stranger, "a");  // any connection can release a standing call
+    CHECK(hub.released.size() == 1 && hub.link.usage.standing_calls == 0);
 }
 
-void an_answer_that_crosses_a_give_up_is_released() {
-    World w;
-    w.open();
-    w.offer("a");
-    w.gatekeeper.on_release(w.link, "a");
-    CHECK(w.given_up.size() == 1);
-    w.gatekeeper.on_answer("s-1", "a", "late");
-    CHECK(w.released.size() == 1 && w.heard("a").empty());
+void releases_answer_to_cancelled_set_up() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.send_set_up("a");
+    hub.gatekeeper.on_release(hub.link, "a");
+    CHECK(hub.cancelled.size() == 1);
+    hub.gatekeeper.on_answer("s-1", "a", "late");
+    CHECK(hub.released.size() == 1 && hub.messages_for("a").empty());
 
-    w.offer("b", 1, 1s);
-    w.pass(1500ms);  // times out
-    CHECK(w.given_up.size() == 2 && w.heard("b") == Words{"refused"});
-    w.gatekeeper.on_answer("s-1", "b", "late");
-    CHECK(w.released.size() == 2 && w.heard("b").size() == 1);
-    w.gatekeeper.on_call_ended("s-1", "b", Outcome::ended, Cause::none, {});
-    CHECK(w.heard("b").size() == 1);
+    hub.send_set_up("b", 1, 1s);
+    hub.advance(1500ms);  // times out
+    CHECK(hub.cancelled.size() == 2 && hub.messages_for("b") == Messages{"refused"});
+    hub.gatekeeper.on_answer("s-1", "b", "late");
+    CHECK(hub.released.size() == 2 && hub.messages_for("b").size() == 1);
+    hub.gatekeeper.on_call_ended("s-1", "b", Outcome::ended, Cause::none, {});
+    CHECK(hub.messages_for("b").size() == 1);
 }
 
-void after_a_reset_the_release_is_awaited() {
-    World w;
-    w.open();
-    w.offer("a");
-    const Instant lost = w.now;
-    w.gatekeeper.on_call_ended("s-1", "a", Outcome::reset, Cause::none, {});
-    while (w.sent.size() < 2 && w.now < lost + 2s) w.pass(1ms);
-    CHECK(w.sent.size() == 2 && w.now >= lost + 300ms);
+void waits_for_release_after_reset() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.send_set_up("a");
+    const Instant reset_at = hub.now;
+    hub.gatekeeper.on_call_ended("s-1", "a", Outcome::reset, Cause::none, {});
+    while (hub.set_ups.size() < 2 && hub.now < reset_at + 2s) hub.advance(1ms);
+    CHECK(hub.set_ups.size() == 2 && hub.now >= reset_at + 300ms);
 }
 
-// The end of a call whose answer was lost says nothing of how soon the exchange answers.
-void an_end_without_an_answer_is_no_answer() {
-    World w;
-    w.open();
-    w.offer("lost");
-    w.pass(1900ms);
-    w.gatekeeper.on_call_ended("s-1", "lost", Outcome::ended, Cause::none, {});
-    CHECK(w.counters.reset == 1 && w.counters.errors == 0 && w.counters.answered == 0);
-    w.pass(4s);
-    CHECK(w.heard("lost") == Words{"refused"} && w.gatekeeper.calls() == 0);
+// An exchange reports the normal end of a call whose answer was lost on the way. If this counted as an
+// answer, the length of the call would be taken for the time that the exchange needs to answer.
+void counts_end_without_answer_as_reset() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.send_set_up("lost");
+    hub.advance(1900ms);
+    hub.gatekeeper.on_call_ended("s-1", "lost", Outcome::ended, Cause::none, {});
+    CHECK(hub.counters.reset == 1 && hub.counters.errors == 0 && hub.counters.answered == 0);
+    hub.advance(4s);
+    CHECK(hub.messages_for("lost") == Messages{"refused"} && hub.gatekeeper.calls() == 0);
 }
 
-void nothing_new_goes_to_what_drains_or_has_gone() {
-    World w;
-    w.open();
-    w.offer("a");
-    w.gatekeeper.on_answer("s-1", "a", "d");
-    w.gatekeeper.apply_list(World::all({{"s-1", ExchangeState::draining}}, ListKind::changes));
-    w.offer("b");
-    w.pass(4s);
-    CHECK(w.sent.size() == 1 && w.heard("b") == Words{"refused"});
-    CHECK(w.heard("a").size() == 1);  // stands while it drains
-    w.gatekeeper.apply_list(World::all({{"s-1", ExchangeState::gone}}, ListKind::changes));
-    CHECK((w.heard("a") == Words{"answer d", "cut"}));
+void sends_no_set_up_to_draining_or_gone_exchange() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.send_set_up("a");
+    hub.gatekeeper.on_answer("s-1", "a", "d");
+    hub.gatekeeper.apply_list(TestHub::list_of({{"s-1", ExchangeState::draining}}, ListKind::changes));
+    hub.send_set_up("b");
+    hub.advance(4s);
+    CHECK(hub.set_ups.size() == 1 && hub.messages_for("b") == Messages{"refused"});
+    CHECK(hub.messages_for("a").size() == 1);  // not cut by the drain
+    hub.gatekeeper.apply_list(TestHub::list_of({{"s-1", ExchangeState::gone}}, ListKind::changes));
+    CHECK((hub.messages_for("a") == Messages{"answer d", "cut"}));
 }
 
-void a_fresh_start_or_a_dead_process_cuts_its_calls() {
-    World w;
-    w.open();
-    for (const char* id : {"a", "b"}) w.offer(id), w.gatekeeper.on_answer("s-1", id, "d");
-    w.offer("c", 2);
-    w.gatekeeper.on_answer("s-2", "c", "d");
-    w.gatekeeper.on_process_failed("s-1");
-    CHECK(w.heard("a").back() == "cut" && w.heard("b").back() == "cut");
-    ListEvent fresh = World::all({{"s-2", ExchangeState::ready}}, ListKind::changes);
-    fresh.entries[0].entry.started = w.now;
-    CHECK(w.heard("c").size() == 1);
-    w.gatekeeper.apply_list(fresh);
-    CHECK(w.heard("c").back() == "cut");
+void cuts_calls_of_restarted_or_dead_exchange() {
+    TestHub hub;
+    hub.report_all_circuits();
+    for (const char* id : {"a", "b"}) hub.send_set_up(id), hub.gatekeeper.on_answer("s-1", id, "d");
+    hub.send_set_up("c", 2);
+    hub.gatekeeper.on_answer("s-2", "c", "d");
+    hub.gatekeeper.on_process_failed("s-1");
+    CHECK(hub.messages_for("a").back() == "cut" && hub.messages_for("b").back() == "cut");
+    ListEvent event = TestHub::list_of({{"s-2", ExchangeState::ready}}, ListKind::changes);
+    event.entries[0].entry.started = hub.now;
+    CHECK(hub.messages_for("c").size() == 1);
+    hub.gatekeeper.apply_list(event);
+    CHECK(hub.messages_for("c").back() == "cut");
 }
 
-void a_standing_call_outlives_its_connection() {
-    World w;
-    w.open();
-    Link other, stranger;
-    stranger.from = "b";
-    for (const char* id : {"a", "b", "c"}) w.offer(id), w.gatekeeper.on_answer("s-1", id, "d");
-    w.offer("open");
-    w.gatekeeper.on_caller_disconnected(w.link);
-    CHECK(w.given_up.size() == 1);  // the set-up that was open on it
-    w.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
-    w.gatekeeper.on_caller_connected(other);
-    CHECK(other.heard["a"] == Words{"ended"});  // owed while no connection was open
-    w.gatekeeper.on_caller_connected(stranger);
-    w.gatekeeper.on_call_ended("s-1", "b", Outcome::reset, Cause::none, {});
-    CHECK(other.heard["b"] == Words{"cut"} && stranger.heard.empty());
-    w.gatekeeper.on_release(other, "c");
-    CHECK(w.released.size() == 1 && other.heard.count("c") == 0);
+void keeps_standing_call_when_connection_closes() {
+    TestHub hub;
+    hub.report_all_circuits();
+    RecordingLink other, stranger;
+    stranger.name = "b";
+    for (const char* id : {"a", "b", "c"}) hub.send_set_up(id), hub.gatekeeper.on_answer("s-1", id, "d");
+    hub.send_set_up("open");
+    hub.gatekeeper.on_caller_disconnected(hub.link);
+    CHECK(hub.cancelled.size() == 1);  // the set-up that was open on it
+    hub.gatekeeper.on_call_ended("s-1", "a", Outcome::ended, Cause::none, {});
+    hub.gatekeeper.on_caller_connected(other);
+    CHECK(other.messages["a"] == Messages{"ended"});  // was kept while no connection was open
+    hub.gatekeeper.on_caller_connected(stranger);
+    hub.gatekeeper.on_call_ended("s-1", "b", Outcome::reset, Cause::none, {});
+    CHECK(other.messages["b"] == Messages{"cut"} && stranger.messages.empty());
+    hub.gatekeeper.on_release(other, "c");
+    CHECK(hub.released.size() == 1 && other.messages.count("c") == 0);
 }
 
-void a_call_in_transit_goes_to_its_destination_or_back() {
-    World w;
-    w.open();
-    w.circuits("s-1", 0);
-    w.offer("a", 1, 3s, true);
-    CHECK(w.sent.empty() && w.heard("a") == Words{"refused"});
+void refuses_transit_call_without_direct_circuit() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.report_circuits("s-1", 0);
+    hub.send_set_up("a", 1, 3s, true);
+    CHECK(hub.set_ups.empty() && hub.messages_for("a") == Messages{"refused"});
 }
 
-void the_test_is_failed_while_leaving() {
-    World w;
-    w.pass(2s);
-    CHECK(w.gatekeeper.is_ready());  // a silent switch does not keep the front away for ever
-    w.gatekeeper.begin_shutdown(w.now + 1s);
-    CHECK(!w.gatekeeper.is_ready());
-    w.open();
-    w.offer("a");
-    // Nobody is there to answer after the end: what is tried until then must be over by it.
-    CHECK(w.sent.size() == 1 && w.sent[0].wait <= 1s);
-    w.gatekeeper.refuse_all();
-    CHECK(w.heard("a") == Words{"refused"} && w.gatekeeper.unanswered_calls() == 0);
+void fails_health_check_during_shutdown() {
+    TestHub hub;
+    hub.advance(2s);
+    CHECK(hub.gatekeeper.is_ready());  // although no exchange has reported its circuits
+    hub.gatekeeper.begin_shutdown(hub.now + 1s);
+    CHECK(!hub.gatekeeper.is_ready());
+    hub.report_all_circuits();
+    hub.send_set_up("a");
+    // The process ends then, so the attempt must be over by that time.
+    CHECK(hub.set_ups.size() == 1 && hub.set_ups[0].time_limit <= 1s);
+    hub.gatekeeper.refuse_all();
+    CHECK(hub.messages_for("a") == Messages{"refused"} && hub.gatekeeper.unanswered_calls() == 0);
 }
 
-void a_drain_takes_set_ups_until_callers_must_go() {
-    World w;
-    w.open();
-    w.offer("before");
-    w.gatekeeper.drain();
-    CHECK(!w.gatekeeper.can_close_callers());
-    w.pass(100ms);
-    CHECK(!w.gatekeeper.is_ready());  // the front has heard
-    w.pass(100ms);
-    w.gatekeeper.drain();  // once more: it goes on as it is
-    CHECK(!w.gatekeeper.can_close_callers());
-    w.pass(110ms);
-    CHECK(w.gatekeeper.can_close_callers());
-    w.offer("within");
-    CHECK(w.sent.size() == 2);
-    w.pass(1500ms);
-    w.offer("late");
-    CHECK(w.heard("late") == Words{"refused"} && w.sent.size() == 2 && w.gatekeeper.unanswered_calls() == 2);
-    w.gatekeeper.on_answer("s-1", "before", "d");
-    CHECK(w.heard("before") == Words{"answer d"});
-    w.gatekeeper.undrain();
-    CHECK(w.gatekeeper.is_ready() && !w.gatekeeper.can_close_callers());
-    w.offer("after");
-    CHECK(w.sent.size() == 3);
-    const auto& replies = w.gatekeeper.replies().at(0);
+void refuses_set_ups_only_late_in_drain() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.send_set_up("before");
+    hub.gatekeeper.drain();
+    CHECK(!hub.gatekeeper.can_close_callers());
+    hub.advance(100ms);
+    CHECK(!hub.gatekeeper.is_ready());  // the load balancer now knows of the drain
+    hub.advance(100ms);
+    hub.gatekeeper.drain();  // a second command changes nothing
+    CHECK(!hub.gatekeeper.can_close_callers());
+    hub.advance(110ms);
+    CHECK(hub.gatekeeper.can_close_callers());
+    hub.send_set_up("within");
+    CHECK(hub.set_ups.size() == 2);
+    hub.advance(1500ms);
+    hub.send_set_up("late");
+    CHECK(hub.messages_for("late") == Messages{"refused"} && hub.set_ups.size() == 2 &&
+          hub.gatekeeper.unanswered_calls() == 2);
+    hub.gatekeeper.on_answer("s-1", "before", "d");
+    CHECK(hub.messages_for("before") == Messages{"answer d"});
+    hub.gatekeeper.undrain();
+    CHECK(hub.gatekeeper.is_ready() && !hub.gatekeeper.can_close_callers());
+    hub.send_set_up("after");
+    CHECK(hub.set_ups.size() == 3);
+    const auto& replies = hub.gatekeeper.replies().at(0);
     CHECK(replies.served == 1 && replies.refused == 1 && replies.failed == 0);
-    CHECK(w.gatekeeper.listed_exchanges() == 3 && w.gatekeeper.avoided_exchanges() == 0);
-    w.pass(5s);  // nobody has answered in time
-    CHECK(w.gatekeeper.avoided_exchanges() == 1);
-    World unasked;
-    unasked.gatekeeper.drain();
-    unasked.pass(700ms);
-    CHECK(unasked.gatekeeper.can_close_callers());
+    CHECK(hub.gatekeeper.listed_exchanges() == 3 && hub.gatekeeper.avoided_exchanges() == 0);
+    hub.advance(5s);  // no attempt was answered in time
+    CHECK(hub.gatekeeper.avoided_exchanges() == 1);
+    TestHub without_health_check;
+    without_health_check.gatekeeper.drain();
+    without_health_check.advance(700ms);
+    CHECK(without_health_check.gatekeeper.can_close_callers());
 }
 
-struct Other final : Successor {
-    std::vector<std::string> told;
-    void hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) override {
-        told.push_back("stands " + at + ' ' + call + ' ' + std::string(origin));
+// Records what is handed over.
+struct RecordingSuccessor final : Successor {
+    std::vector<std::string> reports;
+    void hand_over_call(const ExchangeId& exchange, const CallId& call, std::string_view origin) override {
+        reports.push_back("call " + exchange + ' ' + call + ' ' + std::string(origin));
     }
     void hand_over_end(const ExchangeId&, const CallId& call, Outcome outcome) override {
-        told.push_back((outcome == Outcome::ended ? "ended " : "cut ") + call);
+        reports.push_back((outcome == Outcome::ended ? "ended " : "cut ") + call);
     }
-    void hand_over_release(const CallId& call) override { told.push_back("released " + call); }
+    void hand_over_release(const CallId& call) override { reports.push_back("released " + call); }
 };
 
-void standing_calls_move_to_the_next_process() {
-    World old;
-    old.open();
-    old.offer("stands");
-    old.gatekeeper.on_answer("s-1", "stands", "d");
-    old.offer("open");
-    Other other;
-    old.gatekeeper.hand_over_to(&other);
-    CHECK(other.told == Words{"stands s-1 stands a"} && old.gatekeeper.calls() == 1);
-    CHECK(old.link.usage.standing_calls == 0 && old.link.usage.open_set_ups == 1);
-    old.gatekeeper.begin_shutdown(old.now + 3s);
-    CHECK(old.gatekeeper.is_ready());  // the front sees one gatekeeper
-    old.gatekeeper.on_answer("s-1", "open", "d");
-    CHECK(old.heard("open") == Words{"answer d"} && old.gatekeeper.calls() == 0);
-    old.gatekeeper.on_call_ended("s-1", "stands", Outcome::ended, Cause::none, {});
-    old.gatekeeper.on_release(old.link, "open");
-    CHECK((other.told == Words{"stands s-1 stands a", "stands s-1 open a", "ended stands", "released open"}));
+void hands_standing_calls_over_to_successor() {
+    TestHub predecessor;
+    predecessor.report_all_circuits();
+    predecessor.send_set_up("answered");
+    predecessor.gatekeeper.on_answer("s-1", "answered", "d");
+    predecessor.send_set_up("open");
+    RecordingSuccessor successor;
+    predecessor.gatekeeper.hand_over_to(&successor);
+    CHECK(successor.reports == Messages{"call s-1 answered a"} && predecessor.gatekeeper.calls() == 1);
+    CHECK(predecessor.link.usage.standing_calls == 0 && predecessor.link.usage.open_set_ups == 1);
+    predecessor.gatekeeper.begin_shutdown(predecessor.now + 3s);
+    CHECK(predecessor.gatekeeper.is_ready());  // both processes are one gatekeeper to the load balancer
+    predecessor.gatekeeper.on_answer("s-1", "open", "d");
+    CHECK(predecessor.messages_for("open") == Messages{"answer d"} && predecessor.gatekeeper.calls() == 0);
+    predecessor.gatekeeper.on_call_ended("s-1", "answered", Outcome::ended, Cause::none, {});
+    predecessor.gatekeeper.on_release(predecessor.link, "open");
+    CHECK((successor.reports ==
+           Messages{"call s-1 answered a", "call s-1 open a", "ended answered", "released open"}));
 
-    World fresh;
+    TestHub receiver;
     for (const char* id : {"ends", "released", "cut", "by its caller"})
-        fresh.gatekeeper.accept_standing("s-1", id, "a");
-    fresh.gatekeeper.accept_standing("unheard of", "gone", "a");
-    CHECK(fresh.heard("gone") == Words{"cut"} && fresh.gatekeeper.calls() == 4);
-    fresh.gatekeeper.on_call_ended("s-1", "ends", Outcome::ended, Cause::none, {});
-    fresh.gatekeeper.on_call_ended("s-1", "cut", Outcome::reset, Cause::none, {});
-    CHECK(fresh.heard("ends") == Words{"ended"} && fresh.heard("cut") == Words{"cut"});
-    fresh.gatekeeper.accept_release("released");
-    fresh.gatekeeper.on_release(fresh.link, "by its caller");
-    CHECK(fresh.released.size() == 2 && fresh.gatekeeper.calls() == 0);
+        receiver.gatekeeper.accept_standing("s-1", id, "a");
+    receiver.gatekeeper.accept_standing("unknown", "gone", "a");
+    CHECK(receiver.messages_for("gone") == Messages{"cut"} && receiver.gatekeeper.calls() == 4);
+    receiver.gatekeeper.on_call_ended("s-1", "ends", Outcome::ended, Cause::none, {});
+    receiver.gatekeeper.on_call_ended("s-1", "cut", Outcome::reset, Cause::none, {});
+    CHECK(receiver.messages_for("ends") == Messages{"ended"} &&
+          receiver.messages_for("cut") == Messages{"cut"});
+    receiver.gatekeeper.accept_release("released");
+    receiver.gatekeeper.on_release(receiver.link, "by its caller");
+    CHECK(receiver.released.size() == 2 && receiver.gatekeeper.calls() == 0);
 }
 
-// Exchanges are replaced all day and every call has a new id and number: nothing of them may stay.
-void tables_shrink_back() {
-    World w;
-    w.open();
-    w.pass(20s);
-    const std::size_t at_first = w.gatekeeper.table_entries();
+// Exchanges are replaced time and again, and each call has a new id and number. An entry that is left behind
+// by one of them would fill the memory in the long run.
+void removes_entries_of_past_calls() {
+    TestHub hub;
+    hub.report_all_circuits();
+    hub.advance(20s);
+    const std::size_t entries_at_start = hub.gatekeeper.table_entries();
     for (int round = 0; round < 60; ++round) {
         const ExchangeId id =
             "s-1" + std::string(1, 'a' + static_cast<char>(round % 26)) + std::to_string(round);
-        ListEvent fresh = World::all({{"s-1", ExchangeState::ready}}, ListKind::changes);
-        fresh.entries[0].entry.exchange = id;
-        w.gatekeeper.apply_list(fresh);
-        w.circuits(id, 20);
+        ListEvent event = TestHub::list_of({{"s-1", ExchangeState::ready}}, ListKind::changes);
+        event.entries[0].entry.exchange = id;
+        hub.gatekeeper.apply_list(event);
+        hub.report_circuits(id, 20);
         for (int i = 0; i < 30; ++i) {
             const CallId call = std::to_string(round) + '/' + std::to_string(i);
-            w.offer(call, 1 + i % 2, 3600s);
-            if (i % 5 == 0) w.gatekeeper.on_release(w.link, call);
-            const ExchangeId at = w.sent.empty() ? id : w.sent.back().at;
-            if (i % 5 == 1) w.gatekeeper.on_call_ended(at, call, Outcome::turned_back, Cause::by_tandem, {});
-            if (i % 5 == 2) w.gatekeeper.on_call_ended(at, call, Outcome::failed, Cause::number_busy, {});
-            if (i % 5 >= 3) w.gatekeeper.on_answer(at, call, "d");
-            if (i % 5 == 3) w.gatekeeper.on_call_ended(at, call, Outcome::ended, Cause::none, {});
+            hub.send_set_up(call, 1 + i % 2, 3600s);
+            if (i % 5 == 0) hub.gatekeeper.on_release(hub.link, call);
+            const ExchangeId exchange = hub.set_ups.empty() ? id : hub.set_ups.back().exchange;
+            if (i % 5 == 1)
+                hub.gatekeeper.on_call_ended(exchange, call, Outcome::turned_back, Cause::by_tandem, {});
+            if (i % 5 == 2)
+                hub.gatekeeper.on_call_ended(exchange, call, Outcome::failed, Cause::number_busy, {});
+            if (i % 5 >= 3) hub.gatekeeper.on_answer(exchange, call, "d");
+            if (i % 5 == 3) hub.gatekeeper.on_call_ended(exchange, call, Outcome::ended, Cause::none, {});
         }
-        fresh.entries[0].entry.state = ExchangeState::gone;
-        w.gatekeeper.apply_list(fresh);
-        w.pass(100ms);
+        event.entries[0].entry.state = ExchangeState::gone;
+        hub.gatekeeper.apply_list(event);
+        hub.advance(100ms);
     }
-    w.gatekeeper.refuse_all();
-    Link other;
-    w.gatekeeper.on_caller_disconnected(w.link);
-    w.gatekeeper.on_caller_connected(other);
-    for (const auto& sent : w.sent) w.gatekeeper.on_release(other, sent.call);
-    w.pass(20s);
-    w.circuits("s-2", 20);  // the module forgets with the next event
-    CHECK(w.gatekeeper.calls() == 0);
-    CHECK(w.gatekeeper.table_entries() <= at_first);
+    hub.gatekeeper.refuse_all();
+    RecordingLink other;
+    hub.gatekeeper.on_caller_disconnected(hub.link);
+    hub.gatekeeper.on_caller_connected(other);
+    for (const auto& set_up : hub.set_ups) hub.gatekeeper.on_release(other, set_up.call);
+    hub.advance(20s);
+    hub.report_circuits("s-2", 20);  // the decision module drops old entries with the next event
+    CHECK(hub.gatekeeper.calls() == 0);
+    CHECK(hub.gatekeeper.table_entries() <= entries_at_start);
 }
 
-// Whatever happens in whatever order: one final answer, one attempt out, no resend before the release.
-void the_rules_hold_in_any_order() {
+// Random events in random order: each call gets one final answer, has one attempt at a time, and is not sent
+// again before the release of its last attempt.
+void keeps_rules_under_random_events() {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        Random dice{seed * 104729};
-        World w;
-        w.open();
+        Random random{seed * 104729};
+        TestHub hub;
+        hub.report_all_circuits();
         std::vector<CallId> ids;
-        std::map<CallId, ExchangeId> out;
+        std::map<CallId, ExchangeId> attempts;
         std::map<CallId, Instant> not_before;
         std::set<CallId> abandoned;
-        std::size_t sent = 0, gone = 0;
-        const auto follow = [&] {  // sends and give-ups, as the far ends see them
-            for (; gone < w.given_up.size(); ++gone)
-                if (out.erase(w.given_up[gone].second)) not_before[w.given_up[gone].second] = w.now + 300ms;
-            for (; sent < w.sent.size(); ++sent) {
-                const auto& s = w.sent[sent];
-                CHECK(!out.count(s.call) && s.at != "s-0" && w.now >= not_before[s.call]);
-                CHECK(s.wait > Duration::zero());
-                out[s.call] = s.at;
+        std::size_t set_ups_seen = 0, cancelled_seen = 0;
+        const auto check_new_messages = [&] {  // follows set-ups and cancellations as the exchanges see them
+            for (; cancelled_seen < hub.cancelled.size(); ++cancelled_seen)
+                if (attempts.erase(hub.cancelled[cancelled_seen].second))
+                    not_before[hub.cancelled[cancelled_seen].second] = hub.now + 300ms;
+            for (; set_ups_seen < hub.set_ups.size(); ++set_ups_seen) {
+                const auto& set_up = hub.set_ups[set_ups_seen];
+                CHECK(!attempts.count(set_up.call) && set_up.exchange != "s-0" &&
+                      hub.now >= not_before[set_up.call]);
+                CHECK(set_up.time_limit > Duration::zero());
+                attempts[set_up.call] = set_up.exchange;
             }
         };
         for (int step = 0; step < 600; ++step) {
-            const ExchangeId at = dice.below(2) ? "s-1" : "s-2";
-            const CallId any = ids.empty() ? "none" : ids[dice.below(ids.size())];
-            switch (dice.below(9)) {
+            const ExchangeId exchange = random.below(2) ? "s-1" : "s-2";
+            const CallId any_call = ids.empty() ? "none" : ids[random.below(ids.size())];
+            switch (random.below(9)) {
                 case 0:
                 case 1:
                 case 2:
                     ids.push_back("call" + std::to_string(ids.size()));
-                    w.offer(ids.back(), 1 + static_cast<int>(dice.below(2)),
-                            std::chrono::milliseconds(dice.below(3000)), dice.below(5) == 0);
+                    hub.send_set_up(ids.back(), 1 + static_cast<int>(random.below(2)),
+                                    std::chrono::milliseconds(random.below(3000)), random.below(5) == 0);
                     break;
                 case 3:
-                    if (const auto o = out.find(any); o != out.end() && o->second == at) out.erase(o);
-                    w.gatekeeper.on_answer(at, any, "d");
+                    if (const auto attempt = attempts.find(any_call);
+                        attempt != attempts.end() && attempt->second == exchange)
+                        attempts.erase(attempt);
+                    hub.gatekeeper.on_answer(exchange, any_call, "d");
                     break;
                 case 4: {
-                    const Outcome outcome = static_cast<Outcome>(dice.below(8));
-                    if (const auto o = out.find(any); o != out.end() && o->second == at) {
-                        out.erase(o);
-                        if (outcome == Outcome::reset) not_before[any] = w.now + 300ms;
+                    const Outcome outcome = static_cast<Outcome>(random.below(8));
+                    if (const auto attempt = attempts.find(any_call);
+                        attempt != attempts.end() && attempt->second == exchange) {
+                        attempts.erase(attempt);
+                        if (outcome == Outcome::reset) not_before[any_call] = hub.now + 300ms;
                     }
-                    w.gatekeeper.on_call_ended(at, any, outcome, static_cast<Cause>(dice.below(6)), {});
+                    hub.gatekeeper.on_call_ended(exchange, any_call, outcome,
+                                                 static_cast<Cause>(random.below(6)), {});
                     break;
                 }
                 case 5:
-                    if (!w.link.heard.count(any)) abandoned.insert(any);
-                    w.gatekeeper.on_release(w.link, any);
+                    if (!hub.link.messages.count(any_call)) abandoned.insert(any_call);
+                    hub.gatekeeper.on_release(hub.link, any_call);
                     break;
                 case 6:
-                    for (const auto& [id, where] : std::map(out))  // a connection breaks
-                        if (where == at) {
-                            out.erase(id), not_before[id] = w.now + 300ms;
-                            w.gatekeeper.on_call_ended(at, id, Outcome::reset, Cause::none, {});
-                            follow();
+                    for (const auto& [id, at_exchange] : std::map(attempts))  // a connection breaks
+                        if (at_exchange == exchange) {
+                            attempts.erase(id), not_before[id] = hub.now + 300ms;
+                            hub.gatekeeper.on_call_ended(exchange, id, Outcome::reset, Cause::none, {});
+                            check_new_messages();
                         }
                     break;
                 case 7:
-                    w.circuits(at, static_cast<int>(dice.below(21)));
+                    hub.report_circuits(exchange, static_cast<int>(random.below(21)));
                     break;
                 default:
-                    for (std::size_t ms = dice.below(200); ms > 0; --ms) w.pass(1ms), follow();
+                    for (std::size_t ms = random.below(200); ms > 0; --ms)
+                        hub.advance(1ms), check_new_messages();
             }
-            follow();
+            check_new_messages();
         }
-        for (int ms = 0; ms < 4000; ++ms) w.pass(1ms), follow();
-        CHECK(w.gatekeeper.unanswered_calls() == 0);
+        for (int ms = 0; ms < 4000; ++ms) hub.advance(1ms), check_new_messages();
+        CHECK(hub.gatekeeper.unanswered_calls() == 0);
         for (const CallId& id : ids) {
-            const Words words = w.heard(id);
+            const Messages messages = hub.messages_for(id);
             if (abandoned.count(id)) {
-                CHECK(words.empty());
+                CHECK(messages.empty());
                 continue;
             }
-            CHECK(!words.empty());
-            CHECK(words.size() == 1 || (words.size() == 2 && words[0] == "answer d" &&
-                                        (words[1] == "ended" || words[1] == "cut")));
+            CHECK(!messages.empty());
+            CHECK(messages.size() == 1 || (messages.size() == 2 && messages[0] == "answer d" &&
+                                           (messages[1] == "ended" || messages[1] == "cut")));
         }
     }
 }
 
 }  // namespace
 
-// Calls whose end never comes must not fill the memory: at the bound set-ups are refused at once, harmlessly,
-// and the oldest calls are named.
-void standing_calls_have_a_bound() {
-    World w(1'000'000, 3);
+// Calls whose end is never reported must not fill the memory. At the limit, set-ups are refused at once with
+// the cause after which a caller may dial again, and a note names the oldest calls.
+void refuses_set_ups_when_table_is_full() {
+    TestHub hub(1'000'000, 3);
     std::vector<std::string> notes;
-    w.gatekeeper.set_note_handler([&notes](const std::string& text) { notes.push_back(text); });
-    w.open();
+    hub.gatekeeper.set_note_handler([&notes](const std::string& text) { notes.push_back(text); });
+    hub.report_all_circuits();
     for (const char* call : {"a", "b", "c"}) {
-        w.offer(call);
-        w.gatekeeper.on_answer("s-1", call, "answer");
-        w.pass(2s);
+        hub.send_set_up(call);
+        hub.gatekeeper.on_answer("s-1", call, "answer");
+        hub.advance(2s);
     }
-    w.offer("d"), w.offer("e");
-    CHECK(w.heard("d") == Words{"refused"} && w.heard("e") == Words{"refused"} && w.sent.size() == 3);
-    CHECK(w.gatekeeper.calls() == 3 && notes.size() == 1);
+    hub.send_set_up("d"), hub.send_set_up("e");
+    CHECK(hub.messages_for("d") == Messages{"refused"} && hub.messages_for("e") == Messages{"refused"} &&
+          hub.set_ups.size() == 3);
+    CHECK(hub.gatekeeper.calls() == 3 && notes.size() == 1);
     CHECK(
         notes[0] ==
         "the table is full with 3 calls; the oldest: a at s-1 for 6 s; b at s-1 for 4 s; c at s-1 for 2 s;");
-    CHECK(w.gatekeeper.oldest_calls(1).size() == 1 && w.gatekeeper.oldest_calls(9).front().call == "a");
-    w.gatekeeper.on_call_ended("s-1", "b", Outcome::ended, Cause::none, {});
-    w.offer("f");
-    CHECK(w.sent.size() == 4);
+    CHECK(hub.gatekeeper.oldest_calls(1).size() == 1 && hub.gatekeeper.oldest_calls(9).front().call == "a");
+    hub.gatekeeper.on_call_ended("s-1", "b", Outcome::ended, Cause::none, {});
+    hub.send_set_up("f");
+    CHECK(hub.set_ups.size() == 4);
 }
 
 int main() {
-    standing_calls_have_a_bound();
-    a_call_stands_and_ends_once();
-    what_cannot_be_served_is_answered_at_once();
-    a_set_up_belongs_to_its_connection();
-    an_answer_that_crosses_a_give_up_is_released();
-    after_a_reset_the_release_is_awaited();
-    an_end_without_an_answer_is_no_answer();
-    nothing_new_goes_to_what_drains_or_has_gone();
-    a_fresh_start_or_a_dead_process_cuts_its_calls();
-    a_standing_call_outlives_its_connection();
-    a_call_in_transit_goes_to_its_destination_or_back();
-    the_test_is_failed_while_leaving();
-    a_drain_takes_set_ups_until_callers_must_go();
-    standing_calls_move_to_the_next_process();
-    tables_shrink_back();
-    the_rules_hold_in_any_order();
+    refuses_set_ups_when_table_is_full();
+    answers_and_ends_call_once();
+    answers_unservable_set_ups_at_once();
+    only_own_connection_cancels_set_up();
+    releases_answer_to_cancelled_set_up();
+    waits_for_release_after_reset();
+    counts_end_without_answer_as_reset();
+    sends_no_set_up_to_draining_or_gone_exchange();
+    cuts_calls_of_restarted_or_dead_exchange();
+    keeps_standing_call_when_connection_closes();
+    refuses_transit_call_without_direct_circuit();
+    fails_health_check_during_shutdown();
+    refuses_set_ups_only_late_in_drain();
+    hands_standing_calls_over_to_successor();
+    removes_entries_of_past_calls();
+    keeps_rules_under_random_events();
 }
