--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -37,7 +37,7 @@
 
 void Gatekeeper::apply_settings(const Settings& settings, const Bounds& bounds) {
     settings_ = settings;
-    control_.take(settings);
+    control_.apply(settings);
     bounds_ = bounds;
 }
 
@@ -73,7 +73,8 @@
 }
 
 std::size_t Gatekeeper::table_entries() const {
-    return calls_.size() + exchanges_.size() + timers_.size() + pending_releases_.size() + control_.entries();
+    return calls_.size() + exchanges_.size() + timers_.size() + pending_releases_.size() +
+           control_.table_entry_count();
 }
 
 void Gatekeeper::run_timers() {
@@ -86,7 +87,7 @@
 }
 
 void Gatekeeper::on_timer(const ModuleTimer& timer) {
-    handle_event(TimerDue{timer.token});
+    handle_event(TimerExpired{timer.token});
 }
 
 void Gatekeeper::on_timer(const AttemptTimeout& timer) {
@@ -273,12 +274,12 @@
     event.destination = request.destination;
     event.width = request.width;
     event.service_class = static_cast<int>(service_class - settings_.classes.begin());
-    (request.transit ? event.previous : event.advised) = request.via;
-    event.patience = time_left;
+    (request.transit ? event.previous_exchange : event.advised_exchange) = request.via;
+    event.time_left = time_left;
     event.transit = request.transit;
-    event.was_cut = request.was_cut;
+    event.is_reconnect = request.was_cut;
     event.redial = request.redial;
-    event.number = call.number;
+    event.called_number = call.number;
     handle_event(std::move(event));
 }
 
@@ -319,7 +320,7 @@
                                   .exchange = call.exchange,
                                   .outcome = Outcome::cancelled,
                                   .final = true,
-                                  .lag = clock_() - call.sent_at});
+                                  .response_time = clock_() - call.sent_at});
 }
 
 void Gatekeeper::drain() {
@@ -423,7 +424,7 @@
         count_reply(call.service_class, &Replies::served);
         call.link->answer(id, std::make_shared<const std::string>(description));
     }
-    handle_event(CallStands{id, call.attempts - 1, exchange, clock_() - call.sent_at});
+    handle_event(CallAnswered{id, call.attempts - 1, exchange, clock_() - call.sent_at});
     if (successor_) hand_over(entry);
 }
 
@@ -450,7 +451,7 @@
     const Instant now = clock_();
     if (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled)
         call.not_before = now + settings_.release_wait;
-    counters_.turned_back += outcome == Outcome::turned_back;
+    counters_.turned_back += outcome == Outcome::rejected;
     counters_.errors += outcome == Outcome::failed;
     counters_.reset += outcome == Outcome::reset;
     counters_.unreachable += outcome == Outcome::unreachable;
@@ -461,7 +462,7 @@
                               .outcome = outcome,
                               .cause = cause,
                               .final = false,
-                              .lag = now - call.sent_at,
+                              .response_time = now - call.sent_at,
                               .load = load});
 }
 
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -49,7 +49,7 @@
 
     // Settings can be changed while the gatekeeper serves: calls, timers and what the decision module has
     // learned are kept. apply_settings() requires can_apply().
-    bool can_apply(const Settings& settings) const { return control_.can_take(settings); }
+    bool can_apply(const Settings& settings) const { return control_.can_apply(settings); }
     void apply_settings(const Settings& settings, const Bounds& bounds);
 
     // From now on health checks fail, so that the load balancer sends no more callers. Set-ups that come
@@ -95,7 +95,7 @@
     const std::vector<Replies>& replies() const { return replies_; }
     std::size_t listed_exchanges() const { return exchanges_.size(); }
     // How many of the listed exchanges the decision module gives no new set-ups at present.
-    std::size_t avoided_exchanges() const { return control_.avoided(); }
+    std::size_t avoided_exchanges() const { return control_.avoided_exchange_count(); }
     // How many entries all tables have, the decision module's included. Each table is bounded by the calls
     // and exchanges that are known at the time.
     std::size_t table_entries() const;
@@ -141,7 +141,7 @@
         std::string origin;          // of that connection
         Phase phase = Phase::waiting;
         bool transit = false, was_cut = false, redial = false;
-        int destination = kNowhere, width = 1;
+        int destination = kNoExchange, width = 1;
         std::string service_class, number;
         Description description;
         int attempts = 0;      // set-ups that were sent for it or held back
@@ -156,7 +156,7 @@
     struct Exchange {
         ExchangeState state = ExchangeState::ready;
         Instant started{};
-        int number = kNowhere;
+        int number = kNoExchange;
         bool group_known = false;  // it has reported the state of its circuits
     };
 
@@ -182,10 +182,10 @@
     // control feed sends the list without a request, and the one connection to each carrier switch stays
     // open.
     void carry_out(const Probe&) {}
-    void carry_out(const TellPeers&) {}
-    void carry_out(const FollowList&) {}
-    void carry_out(const AskList&) {}
-    void carry_out(const CloseIdle&) {}
+    void carry_out(const SendPeerMessage&) {}
+    void carry_out(const SubscribeList&) {}
+    void carry_out(const RequestList&) {}
+    void carry_out(const CloseIdleConnection&) {}
 
     // Whether the rules allow an attempt at this exchange now.
     bool can_set_up(const Call& call, const ExchangeId& exchange) const;
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -23,10 +23,10 @@
     std::string_view service_class{};  // by its name in the settings
     std::string_view number{};         // the number called; may be empty
     std::string_view description{};
-    Duration time_left{};        // until the caller must have its final answer
-    int destination = kNowhere;  // exchange number
-    int width = 0;               // circuits that the call takes on each trunk group
-    int via = kNowhere;          // exchange number: in transit the previous exchange, else the advised tandem
+    Duration time_left{};           // until the caller must have its final answer
+    int destination = kNoExchange;  // exchange number
+    int width = 0;                  // circuits that the call takes on each trunk group
+    int via = kNoExchange;  // exchange number: in transit the previous exchange, else the advised tandem
     // In transit: it comes from another exchange. Was cut: it was answered before, was cut and is set up
     // again. Redial: the caller has marked it as a repeated attempt.
     bool transit = false, was_cut = false, redial = false;
@@ -82,8 +82,8 @@
     Description description{};
     Duration time_limit{};  // within which the answer must come
     // Used only where the call goes on to another hub: a carrier switch routes by the number.
-    int destination = kNowhere;  // exchange number
-    int width = 1;               // circuits
+    int destination = kNoExchange;  // exchange number
+    int width = 1;                  // circuits
     bool was_cut = false, redial = false;
 };
 
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -34,7 +34,7 @@
                               .exchange = call.exchange,
                               .outcome = outcome,
                               .final = true,
-                              .lag = clock_() - call.sent_at,
+                              .response_time = clock_() - call.sent_at,
                               .load = load});
 }
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -96,17 +96,17 @@
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
-            for (const trunk::Front::Trunk* of : trunk_->front().trunks())
+            for (const trunk::TrunkManager::Trunk* of : trunk_->front().trunks())
                 routes_.add_route(of->settings().exchange, trunk_->front());
         }
         bool first = true;
         for (ListEvent event : config.known_events) {
             if (!event.has_list) continue;
-            if (std::exchange(first, false)) event.kind = ListKind::remembered;
+            if (std::exchange(first, false)) event.kind = ListKind::cached;
             take(event);
         }
         if (trunk_ && first)
-            take({.number = 0, .has_list = true, .kind = ListKind::remembered, .version = 0, .entries = {}});
+            take({.number = 0, .has_list = true, .kind = ListKind::cached, .version = 0, .entries = {}});
         net::spawn(io, watch_signals());
         feed_.start();
         if (handover_.find_predecessor()) {
@@ -126,7 +126,7 @@
 
     bool is_ready() override { return in_charge_ && gatekeeper_.is_ready(); }
     std::string metrics() const override {
-        return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
+        return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().metrics() : std::string());
     }
     std::optional<protocol::OperatorReply> handle_other(std::string_view method, std::string_view path,
                                                         std::string_view query) override {
@@ -135,7 +135,7 @@
             return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kOldestShown)};
         }
         if (!trunk_) return std::nullopt;
-        return trunk_->desk().carry_out(method, path, query);
+        return trunk_->desk().handle(method, path, query);
     }
     void drain() override {
         ++counters_.drains;
@@ -232,7 +232,7 @@
     // The call table first: it withdraws what is out to an exchange before its connection goes.
     void take(const ListEvent& event) {
         if (trunk_) {
-            ListEvent all = trunk_->front().with_hubs(event);
+            ListEvent all = trunk_->front().with_far_hubs(event);
             gatekeeper_.apply_list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
             servers_.list(all);
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -96,9 +96,9 @@
     for_each_attribute(message.text(ParameterCode::attributes),
                        [&request](std::string_view name, std::string_view value) {
                            const auto integer = to_integer(value);
-                           if (name == "dest") request.destination = int_or(integer, kNowhere);
+                           if (name == "dest") request.destination = int_or(integer, kNoExchange);
                            if (name == "width") request.width = int_or(integer, 0);
-                           if (name == "via") request.via = int_or(integer, kNowhere);
+                           if (name == "via") request.via = int_or(integer, kNoExchange);
                            if (name == "transit") request.transit = integer == 1;
                            if (name == "again") request.was_cut = integer == 1;
                        });
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -25,7 +25,7 @@
     ExchangeEntry& entry = listed.entry;
     entry.exchange = json::get_required<std::string>(server, "id");
     entry.state = read_state(json::get_required<std::string>(server, "state"));
-    entry.number = json::get_or(server, "cell", kNowhere);
+    entry.number = json::get_or(server, "cell", kNoExchange);
     entry.zone = json::get_or<std::string>(server, "zone", "");
     entry.kind = json::get_or<std::string>(server, "kind", "");
     entry.size = json::get_or(server, "weight", 1.0);
--- a/tests/net/calls_test.cpp
+++ b/tests/net/calls_test.cpp
@@ -46,7 +46,7 @@
     static Settings settings() {
         Settings settings;
         settings.own_exchange = 0;
-        settings.controls = 3;
+        settings.call_control_count = 3;
         settings.max_attempts = 5;
         settings.release_wait = 300ms;
         settings.drain_grace = 500ms;
@@ -58,7 +58,7 @@
         return settings;
     }
     static ListEvent list_of(std::initializer_list<std::pair<const char*, ExchangeState>> states,
-                             ListKind kind = ListKind::remembered) {
+                             ListKind kind = ListKind::cached) {
         ListEvent event{.number = 1, .has_list = true, .kind = kind, .version = 1, .entries = {}};
         for (const auto& [id, state] : states) {
             ListedExchange& listed = event.entries.emplace_back();
@@ -381,7 +381,8 @@
             if (i % 5 == 0) hub.gatekeeper.on_release(hub.link, call);
             const ExchangeId exchange = hub.set_ups.empty() ? id : hub.set_ups.back().exchange;
             if (i % 5 == 1)
-                hub.gatekeeper.on_call_ended(exchange, call, Outcome::turned_back, Cause::by_tandem, {});
+                hub.gatekeeper.on_call_ended(exchange, call, Outcome::rejected, Cause::rejected_by_tandem,
+                                             {});
             if (i % 5 == 2)
                 hub.gatekeeper.on_call_ended(exchange, call, Outcome::failed, Cause::number_busy, {});
             if (i % 5 >= 3) hub.gatekeeper.on_answer(exchange, call, "d");
