--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -212,7 +212,6 @@
         if (replies.service_class == service_class) ++(replies.*reply);
 }
 
-// The call has its final answer, or needs none any more.
 void Gatekeeper::close_set_up(Call& call) {
     cancel_timer(call.answer_timer);
     cancel_timer(call.attempt_timer);
@@ -292,7 +291,7 @@
 
 void Gatekeeper::on_release(CallerLink& link, const CallId& id) {
     const auto entry = calls_.find(id);
-    if (entry == calls_.end()) {  // already over, or handed over to the successor
+    if (entry == calls_.end()) {  // already over, and reported twice; or handed over to the successor
         if (successor_) successor_->hand_over_release(id);
         return;
     }
@@ -363,7 +362,7 @@
     std::vector<CallId> open;
     for (auto& [id, call] : calls_) {
         if (call.link != &link) continue;
-        call.link = nullptr;  // its usage is gone with it
+        call.link = nullptr;  // its usage needs no update, since it is gone too
         if (call.phase != Phase::standing) open.push_back(id);
     }
     for (const CallId& id : open) {
@@ -434,8 +433,8 @@
     if (entry == calls_.end() || entry->second.phase == Phase::waiting ||
         entry->second.exchange != exchange) {
         if (entry == calls_.end() && successor_) successor_->hand_over_end(exchange, id, outcome);
-        return on_group_state(exchange,
-                              load);  // too late for the call, but the report on the circuits is of use
+        // Too late for the call, but the report on the circuits is of use.
+        return on_group_state(exchange, load);
     }
     if (entry->second.phase == Phase::standing)
         return end_standing(entry, outcome == Outcome::ended ? Outcome::ended : Outcome::reset, load, true);
@@ -485,8 +484,8 @@
     ExchangeList list{.kind = event.kind, .version = event.version, .entries = {}};
     std::set<ExchangeId> dead;
     if (event.kind != ListKind::changes)
-        for (auto& [id, exchange] : exchanges_)
-            exchange.state = ExchangeState::gone;  // unless it is among the entries below
+        // Those that are among the entries get their state below.
+        for (auto& [id, exchange] : exchanges_) exchange.state = ExchangeState::gone;
     for (const ListedExchange& listed : event.entries) {
         const ExchangeEntry& entry = listed.entry;
         list.entries.push_back(entry);
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -66,8 +66,7 @@
 
     // Hands over to the process that replaces this one: all standing calls now, and later each call that is
     // answered. Set-ups that were accepted here get their final answer here. Health checks pass until the
-    // end, since both processes are one gatekeeper to the load balancer. Null: there is no successor any
-    // more.
+    // end, since to the load balancer both processes are one gatekeeper. Null: the successor has gone.
     void hand_over_to(Successor* successor);
     // Adds a standing call that the predecessor process has handed over or that the circuit ledger holds.
     // `link` gets the call's release; null: a caller's connection gets it.
@@ -189,7 +188,7 @@
 
     // Whether the rules allow an attempt at this exchange now.
     bool can_set_up(const Call& call, const ExchangeId& exchange) const;
-    // The call waits again and the decision module is told of the outcome.
+    // Reports the outcome of a call's attempt to the decision module; the call waits for another attempt.
     void end_attempt(Calls::iterator entry, Outcome outcome, Cause cause, const LoadReport& load);
     // Removes a standing call; the caller is sent its release if `notify_caller`.
     void end_standing(Calls::iterator entry, Outcome outcome, const LoadReport& load, bool notify_caller);
@@ -199,7 +198,8 @@
     void abandon(Calls::iterator entry);
     // Sends the caller of a standing call its release.
     void release_caller(const CallId& id, const Call& call, ReleaseReason reason);
-    // Ends what the table keeps only for a call without a final answer: its timers, counts and texts.
+    // To be called when a call has its final answer or needs none: ends its timers, and drops its description
+    // and number, which only attempts need.
     void close_set_up(Call& call);
     // Gives a standing call to the successor and removes it.
     void hand_over(Calls::iterator entry);
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -11,13 +11,13 @@
 
 namespace nettlestall {
 
-// The description of a call's media. It is passed on unchanged and shared, so that it is never copied.
+// The description of a call's media. It is passed on unchanged, and shared so that no attempt copies it.
 using Description = std::shared_ptr<const std::string>;
 
 // ---- Callers ----------------------------------------------------------------------------------------
 
-// A set-up from a caller. Its texts are views into the bytes that it came in, and are valid only for as long
-// as the receiver's call runs.
+// A set-up from a caller. Its texts are views into the bytes that it came in, and are valid only until
+// CallerEvents::on_set_up() returns.
 struct SetUpRequest {
     CallId call{};
     std::string_view service_class{};  // by its name in the settings
@@ -62,9 +62,9 @@
     virtual void on_set_up(CallerLink& link, const SetUpRequest& request) = 0;
     // The caller cancels its set-up, or ends its answered call.
     virtual void on_release(CallerLink& link, const CallId& call) = 0;
-    // The answer to a health check of the load balancer.
+    // The answer to a health check by the load balancer.
     virtual bool is_ready() = 0;
-    // A connection can be used from the first call on until the second.
+    // `link` is valid from on_caller_connected() until on_caller_disconnected() returns.
     virtual void on_caller_connected(CallerLink& link) = 0;
     virtual void on_caller_disconnected(CallerLink& link) = 0;
 
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -130,8 +130,8 @@
 
 void Gatekeeper::accept_standing(const ExchangeId& exchange, const CallId& id, std::string_view origin,
                                  CallerLink* link) {
-    if (successor_)
-        return successor_->hand_over_call(exchange, id, origin);  // there is a newer process already
+    // This process was itself replaced meanwhile.
+    if (successor_) return successor_->hand_over_call(exchange, id, origin);
     const auto [entry, is_new] = calls_.try_emplace(id);
     if (!is_new) return;
     ++counters_.calls_taken_over;
--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -15,9 +15,9 @@
     std::uint64_t repeated = 0;  // with the id of a call that is in the table already; not in set_ups
 
     // Final answers to callers.
-    std::uint64_t answered = 0;   // the call was answered
-    std::uint64_t refused = 0;    // no circuit: the caller may dial again
-    std::uint64_t failed = 0;     // a fault, or a set-up that makes no sense
+    std::uint64_t answered = 0;  // the call was answered
+    std::uint64_t refused = 0;   // with the cause `no circuit`, after which the caller may dial again
+    std::uint64_t failed = 0;    // with the cause `fault`, after a fault or for a set-up that can't be served
     std::uint64_t abandoned = 0;  // none was needed: the caller cancelled or its connection closed
     std::uint64_t overdue = 0;    // failed by the timer that guards the time limit; not in failed
 
@@ -33,7 +33,9 @@
     std::uint64_t errors = 0;       // rejected for any other reason
     std::uint64_t reset = 0;        // the connection broke, or the call ended and its answer had been lost
     std::uint64_t unreachable = 0;  // there was no connection to the carrier switch
-    std::uint64_t moot = 0;         // the switch discarded the set-up since its time limit had passed
+    // Without effect: the switch found the time limit over, or the set-up still waited for a connection when
+    // the exchange began to drain.
+    std::uint64_t moot = 0;
 
     // Standing calls (answered and not yet over).
     std::uint64_t ended = 0;     // ended in the normal way, by either side
@@ -50,7 +52,7 @@
 
     // Connections of callers.
     std::uint64_t client_connections = 0;              // accepted
-    std::uint64_t client_connections_turned_away = 0;  // closed at once, for lack of room
+    std::uint64_t client_connections_turned_away = 0;  // closed at once: too many are open
     std::uint64_t overflowed = 0;  // any connection: closed because the far end reads too slowly
     std::uint64_t client_connections_displaced = 0;  // closed to make room for another caller's connection
     std::uint64_t client_connections_overdue = 0;    // closed: no whole message in time
--- a/src/protocol/handover.cpp
+++ b/src/protocol/handover.cpp
@@ -38,7 +38,7 @@
     for (int shift = 24; shift >= 0; shift -= 8) to += static_cast<char>(length >> shift & 0xFF);
 }
 
-// Takes a length off the front of `from`, which has to hold one.
+// Removes a length from the front of `from`, which has to hold one, and returns it.
 std::size_t read_length(std::string_view& from) {
     std::size_t length = 0;
     for (std::size_t i = 0; i < kLengthFieldBytes; ++i)
