--- a/src/store/trunk_ledger.cpp
+++ b/src/store/trunk_ledger.cpp
@@ -10,14 +10,16 @@
 namespace nettlestall::store {
 namespace {
 
-constexpr int kApplication = 0x6e746c31;  // in the file's head: whose it is
-constexpr int kVersion = 1;
+// In the file's header: which program and which table layout it belongs to.
+constexpr int kApplicationId = 0x6e746c31;
+constexpr int kSchemaVersion = 1;
 
-struct Failed : std::runtime_error {
+// An SQLite error.
+struct DatabaseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-constexpr const char* kTables =
+constexpr const char* kCreateTables =
     "CREATE TABLE facts (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;"
     "CREATE TABLE places (grp INTEGER, circuit INTEGER, ref INTEGER NOT NULL, circuits TEXT NOT NULL,"
     " call TEXT NOT NULL, outgoing INTEGER NOT NULL, at TEXT NOT NULL, origin TEXT NOT NULL,"
@@ -25,12 +27,14 @@
     "CREATE TABLE blocked (grp INTEGER, circuit INTEGER, blocking INTEGER NOT NULL,"
     " PRIMARY KEY (grp, circuit)) WITHOUT ROWID;";
 
+// The column `circuits`: each number followed by a space.
 std::string to_text(const trunk::CircuitList& circuits) {
     std::string text;
     for (const trunk::CircuitNumber n : circuits) text += std::to_string(n) + ' ';
     return text;
 }
 
+// The reverse of to_text(); empty if the text is not of that form.
 trunk::CircuitList to_circuits(const std::string& text) {
     trunk::CircuitList circuits;
     int number = 0;
@@ -47,16 +51,16 @@
 
 }  // namespace
 
-// Thin: statements that are prepared once, and errors as exceptions.
+// A thin wrapper of SQLite: each statement is prepared once, and errors are thrown as DatabaseError.
 class TrunkLedger::Database {
    public:
     explicit Database(const std::string& path) {
         sqlite3* opened = nullptr;
         const int result = sqlite3_open(path.c_str(), &opened);
-        db_.reset(opened);  // also one that failed has to be closed
+        db_.reset(opened);  // must be closed even if opening failed
         if (result != SQLITE_OK) fail();
-        sqlite3_busy_timeout(db_.get(), 200);
-        // The log in front of the file: a process that dies at any moment leaves all that was committed.
+        sqlite3_busy_timeout(db_.get(), 200);  // ms
+        // With a write-ahead log, everything committed survives a crash of the process at any moment.
         run("PRAGMA journal_mode=WAL"), run("PRAGMA synchronous=NORMAL"), run("PRAGMA cache_size=-256");
     }
     ~Database() {
@@ -83,46 +87,49 @@
         sqlite3_stmt* statement_;
     };
 
+    // Runs the statement with `values` for its parameters, and `handle` for each row of the result.
     template <class F, class... Values>
-    void each(const char* text, F&& row, const Values&... values) {
+    void for_each_row(const char* text, F&& handle, const Values&... values) {
         sqlite3_stmt* const statement = prepared(text);
-        int place = 0;
-        (bind(statement, ++place, values), ...);
+        int index = 0;
+        (bind(statement, ++index, values), ...);
         int result = SQLITE_ROW;
-        while ((result = sqlite3_step(statement)) == SQLITE_ROW) row(Row(statement));
+        while ((result = sqlite3_step(statement)) == SQLITE_ROW) handle(Row(statement));
         sqlite3_reset(statement);
         sqlite3_clear_bindings(statement);
         if (result != SQLITE_DONE) fail();
     }
     template <class... Values>
     void execute(const char* text, const Values&... values) {
-        each(
+        for_each_row(
             text, [](const Row&) {}, values...);
     }
+    // The first column of the last row; -1 if there is none.
     std::int64_t number(const char* text) {
         std::int64_t found = -1;
-        each(text, [&found](const Row& row) { found = row.number(0); });
+        for_each_row(text, [&found](const Row& row) { found = row.number(0); });
         return found;
     }
+    // The first column of the last row; empty if there is none.
     std::string text(const char* query) {
         std::string found;
-        each(query, [&found](const Row& row) { found = row.text(0); });
+        for_each_row(query, [&found](const Row& row) { found = row.text(0); });
         return found;
     }
 
    private:
-    [[noreturn]] void fail() const { throw Failed(db_ ? sqlite3_errmsg(db_.get()) : "no memory"); }
+    [[noreturn]] void fail() const { throw DatabaseError(db_ ? sqlite3_errmsg(db_.get()) : "no memory"); }
 
     sqlite3_stmt* prepared(const char* text) {
         auto& statement = statements_[text];
         if (!statement && sqlite3_prepare_v2(db_.get(), text, -1, &statement, nullptr) != SQLITE_OK) fail();
         return statement;
     }
-    static void bind(sqlite3_stmt* statement, int place, std::int64_t value) {
-        sqlite3_bind_int64(statement, place, value);
+    static void bind(sqlite3_stmt* statement, int index, std::int64_t value) {
+        sqlite3_bind_int64(statement, index, value);
     }
-    static void bind(sqlite3_stmt* statement, int place, const std::string& value) {
-        sqlite3_bind_text(statement, place, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT);
+    static void bind(sqlite3_stmt* statement, int index, const std::string& value) {
+        sqlite3_bind_text(statement, index, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT);
     }
 
     struct Closer {
@@ -132,112 +139,112 @@
     std::map<std::string, sqlite3_stmt*> statements_;
 };
 
-TrunkLedger::TrunkLedger(const std::string& folder, trunk::PointCode own, Note note)
-    : note_(std::move(note)) {
+TrunkLedger::TrunkLedger(const std::string& folder, trunk::PointCode own, Log log) : log_(std::move(log)) {
     namespace fs = std::filesystem;
     const std::string path = folder + "/trunk-" + std::to_string(own) + ".ledger";
-    std::string wrong;
-    if ((db_ = open(path, own, wrong))) return;
+    std::string reason;
+    if ((db_ = open(path, own, reason))) return;
     std::error_code error;
     for (int n = 1; n <= 1000; ++n) {
-        const std::string aside = path + ".set-aside-" + std::to_string(n);
-        if (fs::exists(aside, error)) continue;
-        fs::rename(path, aside, error);
+        const std::string new_path = path + ".set-aside-" + std::to_string(n);
+        if (fs::exists(new_path, error)) continue;
+        fs::rename(path, new_path, error);
         if (error) break;
-        for (const char* end : {"-wal", "-shm"}) {
-            std::error_code none;
-            fs::rename(path + end, aside + end, none);
+        for (const char* suffix : {"-wal", "-shm"}) {
+            std::error_code ignored;
+            fs::rename(path + suffix, new_path + suffix, ignored);
         }
-        note_("ledger " + path + ": " + wrong + "; set aside as " + aside);
-        db_ = open(path, own, wrong);
+        log_("ledger " + path + ": " + reason + "; set aside as " + new_path);
+        db_ = open(path, own, reason);
         break;
     }
-    if (!db_) note_("ledger " + path + ": " + wrong + "; nothing will be remembered");
+    if (!db_) log_("ledger " + path + ": " + reason + "; nothing will be remembered");
 }
 
 TrunkLedger::~TrunkLedger() = default;
 
 std::unique_ptr<TrunkLedger::Database> TrunkLedger::open(const std::string& path, trunk::PointCode own,
-                                                         std::string& wrong) const {
+                                                         std::string& reason) const {
     try {
         std::error_code error;
-        const bool fresh =
+        const bool is_new =
             !std::filesystem::exists(path, error) || std::filesystem::file_size(path, error) == 0;
         auto db = std::make_unique<Database>(path);
-        if (fresh) {
+        if (is_new) {
             db->run("BEGIN IMMEDIATE");
-            db->run(kTables);
-            db->run(("PRAGMA application_id=" + std::to_string(kApplication)).c_str());
-            db->run(("PRAGMA user_version=" + std::to_string(kVersion)).c_str());
+            db->run(kCreateTables);
+            db->run(("PRAGMA application_id=" + std::to_string(kApplicationId)).c_str());
+            db->run(("PRAGMA user_version=" + std::to_string(kSchemaVersion)).c_str());
             db->execute("INSERT INTO facts VALUES ('point', ?)", static_cast<std::int64_t>(own));
             db->run("COMMIT");
             return db;
         }
-        if (db->number("PRAGMA application_id") != kApplication) {
-            wrong = "it is of another program";
-        } else if (const auto version = db->number("PRAGMA user_version"); version != kVersion) {
-            wrong = "it is of version " + std::to_string(version) + ", not " + std::to_string(kVersion);
-        } else if (const std::string torn = db->text("PRAGMA quick_check(1)"); torn != "ok") {
-            wrong = "it is torn: " + torn;
+        if (db->number("PRAGMA application_id") != kApplicationId) {
+            reason = "it belongs to another program";
+        } else if (const auto version = db->number("PRAGMA user_version"); version != kSchemaVersion) {
+            reason = "it has version " + std::to_string(version) + ", not " + std::to_string(kSchemaVersion);
+        } else if (const std::string damage = db->text("PRAGMA quick_check(1)"); damage != "ok") {
+            reason = "it is damaged: " + damage;
         } else if (const auto point = db->number("SELECT value FROM facts WHERE name='point'");
                    point != own) {
-            wrong = "it is of point code " + std::to_string(point) + ", not " + std::to_string(own);
+            reason = "it belongs to point code " + std::to_string(point) + ", not " + std::to_string(own);
         } else {
             return db;
         }
-    } catch (const Failed& problem) {
-        wrong = std::string("it can't be read: ") + problem.what();
+    } catch (const DatabaseError& error) {
+        reason = std::string("it can't be read: ") + error.what();
     }
     return nullptr;
 }
 
-void TrunkLedger::write(const std::function<void(Database&)>& work) {
+void TrunkLedger::transact(const std::function<void(Database&)>& work) {
     if (!db_) return;
     try {
         db_->run("BEGIN IMMEDIATE");
         work(*db_);
         db_->run("COMMIT");
-    } catch (const Failed& problem) {
-        note_(std::string("ledger: ") + problem.what() + "; nothing more will be remembered");
+    } catch (const DatabaseError& error) {
+        log_(std::string("ledger: ") + error.what() + "; nothing more will be remembered");
         db_ = nullptr;
     }
 }
 
 std::uint32_t TrunkLedger::next_incarnation(std::uint32_t at_least) {
-    std::int64_t life = at_least;
-    write([&life](Database& db) {
-        life = std::max(life, db.number("SELECT value FROM facts WHERE name='life'") + 1);
-        db.execute("INSERT OR REPLACE INTO facts VALUES ('life', ?)", life);
+    std::int64_t incarnation = at_least;
+    transact([&incarnation](Database& db) {
+        incarnation = std::max(incarnation, db.number("SELECT value FROM facts WHERE name='life'") + 1);
+        db.execute("INSERT OR REPLACE INTO facts VALUES ('life', ?)", incarnation);
     });
-    return static_cast<std::uint32_t>(life);
+    return static_cast<std::uint32_t>(incarnation);
 }
 
 std::vector<trunk::LedgerCall> TrunkLedger::calls() {
-    std::map<std::uint32_t, std::map<trunk::CircuitNumber, trunk::LedgerCall>> places;
-    write([&places](Database& db) {
-        db.each("SELECT grp, circuit, ref, circuits, call, outgoing, at, origin FROM places",
-                [&places](const Database::Row& row) {
-                    trunk::LedgerCall call;
-                    call.group = static_cast<std::uint32_t>(row.number(0));
-                    call.claim.call = static_cast<trunk::CallRef>(row.number(2));
-                    call.claim.circuits = to_circuits(row.text(3));
-                    call.call = row.text(4);
-                    call.outgoing = row.number(5) != 0;
-                    call.exchange = row.text(6);
-                    call.origin = row.text(7);
-                    places[call.group][static_cast<trunk::CircuitNumber>(row.number(1))] = std::move(call);
-                });
+    std::map<std::uint32_t, std::map<trunk::CircuitNumber, trunk::LedgerCall>> by_group;
+    transact([&by_group](Database& db) {
+        db.for_each_row("SELECT grp, circuit, ref, circuits, call, outgoing, at, origin FROM places",
+                        [&by_group](const Database::Row& row) {
+                            trunk::LedgerCall call;
+                            call.group = static_cast<std::uint32_t>(row.number(0));
+                            call.claim.call = static_cast<trunk::CallRef>(row.number(2));
+                            call.claim.circuits = to_circuits(row.text(3));
+                            call.call = row.text(4);
+                            call.outgoing = row.number(5) != 0;
+                            call.exchange = row.text(6);
+                            call.origin = row.text(7);
+                            by_group[call.group][static_cast<trunk::CircuitNumber>(row.number(1))] =
+                                std::move(call);
+                        });
     });
     std::vector<trunk::LedgerCall> found;
-    for (const auto& [group, of_group] : places)
-        for (trunk::LedgerCall& call : trunk::complete_calls(of_group)) found.push_back(std::move(call));
+    for (const auto& [group, entries] : by_group)
+        for (trunk::LedgerCall& call : trunk::complete_calls(entries)) found.push_back(std::move(call));
     return found;
 }
 
-std::vector<TrunkLedger::Blocked> TrunkLedger::blocked() {
-    std::vector<Blocked> found;
-    write([&found](Database& db) {
-        db.each("SELECT grp, circuit, blocking FROM blocked", [&found](const Database::Row& row) {
+std::vector<TrunkLedger::BlockedCircuit> TrunkLedger::blocked() {
+    std::vector<BlockedCircuit> found;
+    transact([&found](Database& db) {
+        db.for_each_row("SELECT grp, circuit, blocking FROM blocked", [&found](const Database::Row& row) {
             if (row.number(2) < 1 || row.number(2) > 2) return;
             found.push_back({static_cast<std::uint32_t>(row.number(0)),
                              static_cast<trunk::CircuitNumber>(row.number(1)),
@@ -248,7 +255,7 @@
 }
 
 void TrunkLedger::store_call(const trunk::LedgerCall& call) {
-    write([&call](Database& db) {
+    transact([&call](Database& db) {
         for (const trunk::CircuitNumber n : call.claim.circuits)
             db.execute("INSERT OR REPLACE INTO places VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
                        static_cast<std::int64_t>(call.group), static_cast<std::int64_t>(n),
@@ -258,7 +265,7 @@
 }
 
 void TrunkLedger::remove_call(std::uint32_t group, const trunk::Claim& claim) {
-    write([&](Database& db) {
+    transact([&](Database& db) {
         for (const trunk::CircuitNumber n : claim.circuits)
             db.execute("DELETE FROM places WHERE grp=? AND circuit=? AND ref=?",
                        static_cast<std::int64_t>(group), static_cast<std::int64_t>(n),
@@ -268,7 +275,7 @@
 
 void TrunkLedger::store_blocking(std::uint32_t group, trunk::CircuitNumber circuit,
                                  trunk::Blocking blocking) {
-    write([&](Database& db) {
+    transact([&](Database& db) {
         if (blocking == trunk::Blocking::none)
             db.execute("DELETE FROM blocked WHERE grp=? AND circuit=?", static_cast<std::int64_t>(group),
                        static_cast<std::int64_t>(circuit));
--- a/src/store/trunk_ledger.hpp
+++ b/src/store/trunk_ledger.hpp
@@ -1,5 +1,5 @@
-// The trunk signalling's ledger in an SQLite file: what outlives the process, for as long as the disk is
-// sound.
+// The trunk signalling's ledger in an SQLite file. What is stored outlives the process, as long as the disk
+// is sound.
 #pragma once
 
 #include <functional>
@@ -14,24 +14,26 @@
 
 class TrunkLedger final : public trunk::Ledger {
    public:
-    using Note = std::function<void(const std::string&)>;
+    using Log = std::function<void(const std::string&)>;
 
-    // Opens the ledger of this hub in `folder`, or makes one. What is torn, of another form or version, of
-    // another hub or can't be read is named to `note`, renamed and never used; where not even that can be
-    // done, the ledger remembers nothing.
-    TrunkLedger(const std::string& folder, trunk::PointCode own, Note note);
+    // Opens the ledger of the hub with point code `own` in `folder`, or creates it. A file that is damaged,
+    // unreadable, of another program, version or hub is reported to `log`, renamed and never used. If it
+    // cannot be renamed or no new one can be created, the ledger stores nothing.
+    TrunkLedger(const std::string& folder, trunk::PointCode own, Log log);
     ~TrunkLedger() override;
 
+    // False: nothing is stored, since the file could not be opened or a transaction has failed.
     bool is_open() const { return db_ != nullptr; }
-    // More than at any start before: at least `at_least`.
+    // An incarnation that is higher than at any earlier start, and at least `at_least`.
     std::uint32_t next_incarnation(std::uint32_t at_least);
-    std::vector<trunk::LedgerCall> calls();  // those that hold all of their places
-    struct Blocked {
+    // The stored calls that still have the entries of all of their circuits.
+    std::vector<trunk::LedgerCall> calls();
+    struct BlockedCircuit {
         std::uint32_t group;
         trunk::CircuitNumber circuit;
         trunk::Blocking blocking;
     };
-    std::vector<Blocked> blocked();
+    std::vector<BlockedCircuit> blocked();
 
     void store_call(const trunk::LedgerCall& call) override;
     void remove_call(std::uint32_t group, const trunk::Claim& claim) override;
@@ -40,11 +42,13 @@
    private:
     class Database;
 
-    std::unique_ptr<Database> open(const std::string& path, trunk::PointCode own, std::string& wrong) const;
-    // Runs `work` as one transaction. Once one has failed, nothing more is written: half a ledger is none.
-    void write(const std::function<void(Database&)>& work);
+    // Null if the file cannot be used; `reason` says why then.
+    std::unique_ptr<Database> open(const std::string& path, trunk::PointCode own, std::string& reason) const;
+    // Runs `work` as one transaction. Once one has failed nothing more is written, because an incomplete
+    // ledger is of no use.
+    void transact(const std::function<void(Database&)>& work);
 
-    Note note_;
+    Log log_;
     std::unique_ptr<Database> db_;
 };
 
--- a/src/trunk/audit.hpp
+++ b/src/trunk/audit.hpp
@@ -1,5 +1,5 @@
-// Audits: what to ask the far end of a group (circuit group query, Q.764, 2.8.3), whom to believe, and which
-// circuits to free. No I/O and no clock.
+// Audits of a circuit group: which circuits to query at the far end (circuit group query, Q.764, 2.8.3), how
+// to judge its responses, and which circuits to reset. No I/O and no clock: the caller passes the time.
 #pragma once
 
 #include <optional>
@@ -12,55 +12,63 @@
 
 struct AuditRules {
     bool enabled = true;
-    Duration interval = std::chrono::seconds(30);         // each circuit is asked about so often
-    Duration response_timeout = std::chrono::seconds(5);  // for a response, before the question is put anew
-    int confirmations = 2;                                // findings in a row until a circuit is freed
-    int circuits_per_query = 256;                         // circuits in one question
-    bool skip_changed_circuits =
-        true;  // off only in tests: what happened since the question is not looked at
+    Duration interval = std::chrono::seconds(30);         // between two queries about the same circuit
+    Duration response_timeout = std::chrono::seconds(5);  // then the query is repeated
+    int confirmations = 2;  // mismatches in a row after which a circuit is reset
+    int circuits_per_query = 256;
+    // Draw no conclusion about circuits that changed after the query. Off only in tests and experiments.
+    bool skip_changed_circuits = true;
 };
 
-// A call is alive only where both ends hold it on the circuit. The link keeps the order of messages, so a
-// circuit that has not changed here between the question and its response is seen by both ends at one
-// moment: whatever the far end had done to it before it answered, this end would have heard before. Of a
-// circuit that has changed nothing is concluded. That guards a circuit just seized, or a call just answered,
-// whose news crosses the question.
+// Compares this end's circuits with the far end's. A call is alive only where both ends hold it on the
+// circuit.
+//
+// The link keeps the order of messages. A circuit that has not changed here between query and response is
+// therefore compared as of one moment at both ends: anything that the far end did to it before it responded
+// would have been received here before the response. No conclusion is drawn about a circuit that has changed,
+// so that a circuit just seized or a call just answered, whose message crosses the query, is not taken for a
+// mismatch.
 class Audit {
    public:
     explicit Audit(const AuditRules& rules) : rules_(rules) {}
-    // Other rules in service. The numbers of questions go on: guards against the response to an old question
-    // being taken for that to a new one.
-    void take(const AuditRules& rules) { rules_ = rules, out_.reset(), started_ = false; }
+    // Changes the rules in service. Query numbers continue, so that the response to an earlier query is not
+    // mistaken for the response to a new one.
+    void set_rules(const AuditRules& rules) { rules_ = rules, outstanding_.reset(), started_ = false; }
 
-    // The next question if it is time for one; it is on its way then.
-    std::optional<Query> ask(Instant now, const Circuits& circuits);
-    // Circuits on which both ends have disagreed often enough. They are to be reset, with whatever is held.
-    std::vector<CircuitNumber> judge(const QueryResponse& response, const Circuits& circuits);
+    // The next query if one is due, to be sent by the caller; else std::nullopt.
+    std::optional<Query> next_query(Instant now, const Circuits& circuits);
+    // Evaluates a response. Returns the circuits on which both ends have disagreed often enough; they are to
+    // be reset together with whatever call is on them. Responses to any other query than the last are
+    // ignored.
+    std::vector<CircuitNumber> evaluate(const QueryResponse& response, const Circuits& circuits);
 
+    // When next_query() has something to do; Instant::max() if audits are off.
     Instant next_timer() const;
-    // The whole group is asked about from now on; by an operator's order, or upon a contradiction.
+    // Starts to query the whole group at once: on an operator's command, or after a contradiction.
     void start_now(Instant now);
-    void forget();  // the link starts anew: questions and findings with it
+    // The link has restarted: the outstanding query and all mismatches so far no longer count.
+    void clear();
 
-    std::uint64_t asked() const { return asked_count_; }
-    std::uint64_t findings() const { return findings_; }
+    std::uint64_t queries() const { return queries_; }
+    std::uint64_t mismatches() const { return mismatches_; }
+    // Circuits with a mismatch that is not confirmed yet.
     int suspect_count() const;
 
    private:
-    struct Asked {
+    struct OutstandingQuery {
         std::uint32_t id;
-        Instant at;
+        Instant sent_at;
         CircuitNumber first;
-        std::vector<std::uint32_t> changes;
+        std::vector<std::uint32_t> changes;  // Circuit::changes of each circuit when the query was made
     };
     AuditRules rules_;
-    std::optional<Asked> out_;
+    std::optional<OutstandingQuery> outstanding_;
     std::uint32_t last_id_ = 0;
-    CircuitNumber next_ = 1;
-    Instant due_{};
+    CircuitNumber next_circuit_ = 1;
+    Instant next_query_at_{};
     bool started_ = false;
-    std::vector<int> suspicion_;  // by circuit, findings in a row
-    std::uint64_t asked_count_ = 0, findings_ = 0;
+    std::vector<int> mismatches_in_a_row_;  // per circuit
+    std::uint64_t queries_ = 0, mismatches_ = 0;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/circuits.cpp
+++ b/src/trunk/circuits.cpp
@@ -9,36 +9,36 @@
 using S = CircuitState;
 using E = CircuitEvent;
 
-constexpr S kNot = static_cast<S>(255);  // can't happen
+constexpr S kNo = static_cast<S>(255);  // the event is not allowed
 
-// By state, then by event: seize, accept, take, answer, yield, release, clear, reset, doubt. A seizure of the
-// far end may take a circuit that yields: it is the one that won. A circuit that is being released or reset
-// takes none, which guards against a seizure that crosses a release.
-constexpr std::array<std::array<S, kCircuitEventCount>, kCircuitStateCount> kNext{{
-    /* idle       */ {S::seizing, kNot, S::incoming, kNot, kNot, kNot, kNot, S::resetting, S::unsure},
+// Transitions by state, then by event: seize, accept, accept_incoming, answer, yield, release, clear, reset,
+// mark_unsure. A yielding circuit may accept a seizure of the far end, because that one won. A circuit that
+// is being released or reset accepts none, since a seizure may have crossed the release.
+constexpr std::array<std::array<S, kCircuitEventCount>, kCircuitStateCount> kTransitions{{
+    /* idle       */ {S::seizing, kNo, S::incoming, kNo, kNo, kNo, kNo, S::resetting, S::unsure},
     /* seizing    */
-    {kNot, S::proceeding, kNot, kNot, S::yielding, S::releasing, S::idle, S::resetting, S::unsure},
-    /* proceeding */ {kNot, kNot, kNot, S::standing, kNot, S::releasing, S::idle, S::resetting, S::unsure},
-    /* incoming   */ {kNot, kNot, kNot, S::standing, kNot, S::releasing, S::idle, S::resetting, S::unsure},
-    /* standing   */ {kNot, kNot, kNot, kNot, kNot, S::releasing, S::idle, S::resetting, S::unsure},
-    /* yielding   */ {kNot, kNot, S::incoming, kNot, kNot, kNot, S::idle, S::resetting, S::unsure},
-    /* releasing  */ {kNot, kNot, kNot, kNot, kNot, kNot, S::idle, S::resetting, S::unsure},
-    /* resetting  */ {kNot, kNot, kNot, kNot, kNot, kNot, S::idle, S::resetting, S::unsure},
-    /* unsure     */ {kNot, kNot, kNot, kNot, kNot, kNot, S::idle, S::resetting, S::unsure},
+    {kNo, S::proceeding, kNo, kNo, S::yielding, S::releasing, S::idle, S::resetting, S::unsure},
+    /* proceeding */ {kNo, kNo, kNo, S::standing, kNo, S::releasing, S::idle, S::resetting, S::unsure},
+    /* incoming   */ {kNo, kNo, kNo, S::standing, kNo, S::releasing, S::idle, S::resetting, S::unsure},
+    /* standing   */ {kNo, kNo, kNo, kNo, kNo, S::releasing, S::idle, S::resetting, S::unsure},
+    /* yielding   */ {kNo, kNo, S::incoming, kNo, kNo, kNo, S::idle, S::resetting, S::unsure},
+    /* releasing  */ {kNo, kNo, kNo, kNo, kNo, kNo, S::idle, S::resetting, S::unsure},
+    /* resetting  */ {kNo, kNo, kNo, kNo, kNo, kNo, S::idle, S::resetting, S::unsure},
+    /* unsure     */ {kNo, kNo, kNo, kNo, kNo, kNo, S::idle, S::resetting, S::unsure},
 }};
 
-constexpr std::array<std::string_view, kCircuitStateCount> kNames{
+constexpr std::array<std::string_view, kCircuitStateCount> kStateNames{
     "idle", "seizing", "proceeding", "incoming", "standing", "yielding", "releasing", "resetting", "unsure"};
 
 }  // namespace
 
 std::string_view name_of(CircuitState state) {
-    return kNames[static_cast<std::size_t>(state)];
+    return kStateNames[static_cast<std::size_t>(state)];
 }
 
 bool next_state(CircuitState state, CircuitEvent event, CircuitState& next) {
-    const S to = kNext[static_cast<std::size_t>(state)][static_cast<std::size_t>(event)];
-    if (to == kNot) return false;
+    const S to = kTransitions[static_cast<std::size_t>(state)][static_cast<std::size_t>(event)];
+    if (to == kNo) return false;
     next = to;
     return true;
 }
@@ -50,7 +50,7 @@
     circuit.state = next;
     circuit.call = next == S::idle ? kNoCall : call;
     ++circuit.changes;
-    if (next == S::idle) circuit.idle_since = ++fallen_idle_;
+    if (next == S::idle) circuit.idle_order = ++last_idle_order_;
     return true;
 }
 
--- a/src/trunk/circuits.hpp
+++ b/src/trunk/circuits.hpp
@@ -1,5 +1,6 @@
-// The circuits of one end of a group: one state machine each. Whatever happens to a call goes through here
-// for each of its circuits, and what a circuit can't do in its state is not done. No I/O and no clock.
+// The circuits of one end of a group, each with its own state machine. Every change of a call is applied to
+// each of its circuits here, and an event that is not allowed in a circuit's state is rejected. No I/O and no
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -12,53 +13,59 @@
 
 enum class CircuitState : std::uint8_t {
     idle,
-    seizing,     // our seizure is on its way, without a reply
-    proceeding,  // the far end has taken our seizure
-    incoming,    // the far end's seizure, which we took
-    standing,    // answered, whoever seized it
-    yielding,    // our seizure lost a glare; the far end has not said so yet
-    releasing,   // our release is on its way (the guard of Q.764, 2.3)
-    resetting,   // our reset is on its way
-    unsure,      // not known to be idle at the far end: it is reset before anything else
+    seizing,     // this end sent a seizure and has no reply yet
+    proceeding,  // the far end has accepted this end's seizure
+    incoming,    // this end has accepted the far end's seizure
+    standing,    // the call is answered, whichever end seized the circuit
+    yielding,    // this end's seizure lost a dual seizure; the far end has not rejected it yet
+    releasing,   // this end sent a release that is not confirmed yet (the release guard of Q.764, 2.3)
+    resetting,   // this end sent a reset that is not confirmed yet
+    unsure,      // not known to be idle at the far end; has to be reset or cleared first
 };
 constexpr int kCircuitStateCount = 9;
+// The state's name as operators see it.
 std::string_view name_of(CircuitState state);
 
 enum class CircuitEvent : std::uint8_t {
-    seize,            // by this end
-    accept,           // the far end took it
-    accept_incoming,  // the far end's seizure is taken
-    answer,           // by either end
-    yield,            // to the far end's seizure
-    release,          // by this end, towards the far end
-    clear,            // the far end has released it, or confirms our release, reset or yielding
-    reset,            // by this end
-    mark_unsure,      // the link was lost for good, or the far end contradicts us
+    seize,            // this end seizes the circuit
+    accept,           // the far end accepts this end's seizure
+    accept_incoming,  // this end accepts the far end's seizure
+    answer,           // either end answers
+    yield,            // this end's seizure loses to the far end's
+    release,          // this end releases the call
+    clear,            // the far end has released the call, or confirms this end's release, reset or yielding
+    reset,            // this end resets the circuit
+    mark_unsure,      // the link was lost for good, or the far end contradicts this end
 };
 constexpr int kCircuitEventCount = 9;
 
-// Where `event` leads from `state`; false: it can't happen there, and nothing changes.
+// Sets `next` to the state that `event` leads to from `state`. False if the event is not allowed in that
+// state; `next` is unchanged then.
 bool next_state(CircuitState state, CircuitEvent event, CircuitState& next);
 
 struct Circuit {
     CircuitState state = CircuitState::idle;
     CallRef call = kNoCall;
     Blocking blocked_here = Blocking::none, blocked_there = Blocking::none;
-    std::uint32_t changes = 0;     // of state or call: what is known of it is as old as this number
-    std::uint64_t idle_since = 0;  // order in which circuits fell idle; nought: never busy
+    std::uint32_t changes =
+        0;  // counts changes of state or call; shows whether older information still holds
+    std::uint64_t idle_order =
+        0;  // rises each time that a circuit of the group becomes idle; zero: never busy
 
     bool is_idle() const { return state == CircuitState::idle; }
-    // This end awaits the far end's word on it, and lets go by itself if that does not come.
+    // This end waits for a message from the far end, and frees the circuit itself if none comes.
     bool is_transient() const {
         return state == CircuitState::seizing || state == CircuitState::yielding ||
                state == CircuitState::releasing || state == CircuitState::resetting ||
                state == CircuitState::unsure;
     }
+    // Idle and not blocked: a set-up may seize it.
     bool is_free() const {
         return is_idle() && blocked_here == Blocking::none && blocked_there == Blocking::none;
     }
 };
 
+// All circuits of a group, numbered from 1 to size().
 class Circuits {
    public:
     explicit Circuits(int size) : circuits_(static_cast<std::size_t>(size)) {}
@@ -67,7 +74,8 @@
     bool exists(CircuitNumber number) const { return number >= 1 && number <= size(); }
     const Circuit& at(CircuitNumber number) const { return circuits_[index(number)]; }
 
-    // False: it can't happen in its state, and nothing changed. `call` is of whom the circuit is then.
+    // Applies `event`; `call` is the call that has the circuit afterwards. False if the event is not allowed
+    // in the circuit's state; nothing changes then.
     bool apply(CircuitNumber number, CircuitEvent event, CallRef call);
     void block_here(CircuitNumber number, Blocking blocking) {
         circuits_[index(number)].blocked_here = blocking;
@@ -76,13 +84,13 @@
         circuits_[index(number)].blocked_there = blocking;
     }
 
-    int free_count() const;  // that a set-up may seize
-    int busy_count() const;  // that are not idle
+    int free_count() const;  // circuits that a set-up may seize
+    int busy_count() const;  // circuits that are not idle
 
    private:
     static std::size_t index(CircuitNumber number) { return static_cast<std::size_t>(number - 1); }
     std::vector<Circuit> circuits_;
-    std::uint64_t fallen_idle_ = 0;
+    std::uint64_t last_idle_order_ = 0;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/glare.cpp
+++ b/src/trunk/glare.cpp
@@ -15,8 +15,8 @@
 }
 
 bool our_seizure_wins(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs) {
-    const CircuitNumber at = lowest_contested_circuit(ours, theirs);
-    return at == 0 || controls(point_codes, at);
+    const CircuitNumber decisive = lowest_contested_circuit(ours, theirs);
+    return decisive == 0 || controls(point_codes, decisive);
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/group.cpp
+++ b/src/trunk/group.cpp
@@ -8,25 +8,28 @@
 namespace nettlestall::trunk {
 namespace {
 
-constexpr std::array<std::string_view, 6> kLegNames{"seizing",  "proceeding", "incoming",
-                                                    "standing", "yielding",   "releasing"};
+constexpr std::array<std::string_view, 6> kLegStateNames{"seizing",  "proceeding", "incoming",
+                                                         "standing", "yielding",   "releasing"};
 
-bool unanswered(LegState state) {
+// A call that is being set up.
+bool is_unanswered(LegState state) {
     return state == LegState::seizing || state == LegState::proceeding || state == LegState::incoming;
 }
 
-bool awaits_the_far_end(LegState state) {
+// Nobody at this end has the call any more, but its circuits wait for a message from the far end.
+bool awaits_far_end(LegState state) {
     return state == LegState::yielding || state == LegState::releasing;
 }
 
-void append(std::string& to, std::int64_t value) {
-    to.append(std::to_string(value)).push_back(',');
+// Appends `value` and a comma.
+void append(std::string& text, std::int64_t value) {
+    text.append(std::to_string(value)).push_back(',');
 }
 
 }  // namespace
 
 std::string_view name_of(LegState state) {
-    return kLegNames[static_cast<std::size_t>(state)];
+    return kLegStateNames[static_cast<std::size_t>(state)];
 }
 
 Group::Group(const GroupRules& rules, std::uint32_t incarnation)
@@ -49,48 +52,48 @@
     rules_.reset_repeat_interval = rules.reset_repeat_interval;
     rules_.link_down_hold = rules.link_down_hold;
     rules_.audit = rules.audit;
-    audit_.take(rules.audit);
+    audit_.set_rules(rules.audit);
 }
 
-bool Group::exist(const CircuitList& circuits) const {
+bool Group::all_exist(const CircuitList& circuits) const {
     return std::all_of(circuits.begin(), circuits.end(),
                        [this](CircuitNumber n) { return circuits_.exists(n); });
 }
 
-void Group::move(Leg& leg, CallRef ref, LegState to, CircuitEvent by, Instant now) {
+void Group::change_state(Leg& leg, CallRef ref, LegState to, CircuitEvent event, Instant now) {
     leg.state = to;
     leg.since = now;
     for (const CircuitNumber n : leg.circuits)
-        if (circuits_.at(n).call == ref) circuits_.apply(n, by, ref);
+        if (circuits_.at(n).call == ref) circuits_.apply(n, event, ref);
 }
 
-void Group::erase(Legs::iterator at, Effects& out) {
+void Group::remove(Legs::iterator at, Effects& out) {
     for (const CircuitNumber n : at->second.circuits)
         if (circuits_.at(n).call == at->first) circuits_.apply(n, CircuitEvent::clear, kNoCall);
     if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
     legs_.erase(at);
 }
 
-void Group::end(Legs::iterator at, Reason reason, Effects& out) {
+void Group::report_end(Legs::iterator at, Reason reason, Effects& out) {
     const Leg& leg = at->second;
-    if (awaits_the_far_end(leg.state)) return;  // whoever had the call knows
+    if (awaits_far_end(leg.state)) return;  // its end was reported before
     out.push_back(Ended{at->first, leg.call, leg.outgoing, leg.state == LegState::standing, reason});
 }
 
 // ---- At the start ----------------------------------------------------------------------------------
 
 bool Group::restore(const Claim& claim, const CallId& call, bool outgoing, Instant now) {
-    const bool free =
-        exist(claim.circuits) && std::all_of(claim.circuits.begin(), claim.circuits.end(),
-                                             [this](CircuitNumber n) { return circuits_.at(n).is_idle(); });
-    if (!free || legs_.count(claim.call)) return false;
+    const bool can_restore = all_exist(claim.circuits) &&
+                             std::all_of(claim.circuits.begin(), claim.circuits.end(),
+                                         [this](CircuitNumber n) { return circuits_.at(n).is_idle(); });
+    if (!can_restore || legs_.count(claim.call)) return false;
     Leg& leg = legs_[claim.call];
     leg = {outgoing, LegState::standing, claim.circuits, call, now};
     for (const CircuitNumber n : claim.circuits) {
         circuits_.apply(n, CircuitEvent::accept_incoming, claim.call);
         circuits_.apply(n, CircuitEvent::answer, claim.call);
     }
-    held_on_ = true;
+    holds_calls_ = true;
     down_since_ = now;
     return true;
 }
@@ -103,12 +106,12 @@
 
 CallRef Group::set_up(Instant now, CallData data, int width, Effects& out) {
     if (!in_service()) return kNoCall;
-    CircuitList chosen = hunt(circuits_, rules_.point_codes, width, rules_.hunting, lately_);
+    CircuitList chosen = hunt(circuits_, rules_.point_codes, width, rules_.hunting, avoid_);
     if (chosen.empty()) {
         ++counts_.no_circuit;
         return kNoCall;
     }
-    lately_.clear();
+    avoid_.clear();
     ++counts_.seizures;
     const CallRef ref = ++next_ref_;
     legs_[ref] = {true, LegState::seizing, chosen, data.call, now};
@@ -121,7 +124,7 @@
     const auto at = legs_.find(ref);
     if (at == legs_.end() || at->second.state != LegState::incoming) return false;
     ++counts_.answered;
-    move(at->second, ref, LegState::standing, CircuitEvent::answer, now);
+    change_state(at->second, ref, LegState::standing, CircuitEvent::answer, now);
     out.push_back(StoreCall{{ref, at->second.circuits}, at->second.call, false});
     out.push_back(Send{Answer{ref, std::move(description)}});
     return true;
@@ -129,22 +132,22 @@
 
 void Group::release(Instant now, CallRef ref, Reason reason, Effects& out) {
     const auto at = legs_.find(ref);
-    if (at == legs_.end() || awaits_the_far_end(at->second.state)) return;
+    if (at == legs_.end() || awaits_far_end(at->second.state)) return;
     ++counts_.released;
-    // An unanswered set-up of the far end is let go in one message: it frees the circuits when that comes,
-    // and whatever is seized here after it comes behind it.
+    // An unanswered set-up of the far end is rejected in one message, without waiting for a confirmation. The
+    // message frees the circuits at the far end, and any later seizure by this end follows it on the link.
     if (at->second.state == LegState::incoming) {
-        erase(at, out);
+        remove(at, out);
         out.push_back(Send{Reject{ref, reason}});
         return;
     }
-    let_go(now, at, reason, out);
+    start_release(now, at, reason, out);
 }
 
-// The circuits stay out of use until the far end confirms (Q.764, 2.3.1).
-void Group::let_go(Instant now, Legs::iterator at, Reason reason, Effects& out) {
+// Releases a call. Its circuits stay out of use until the far end confirms (Q.764, 2.3.1).
+void Group::start_release(Instant now, Legs::iterator at, Reason reason, Effects& out) {
     if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
-    move(at->second, at->first, LegState::releasing, CircuitEvent::release, now);
+    change_state(at->second, at->first, LegState::releasing, CircuitEvent::release, now);
     out.push_back(Send{Release{at->first, reason}});
 }
 
@@ -159,22 +162,22 @@
 
 void Group::link_up(Instant now, bool resumed, Effects& out) {
     up_ = true;
-    // What awaits a word of the far end has its time from now on.
+    // The time limits of messages that the far end has to confirm start again.
     for (auto& [ref, leg] : legs_)
-        if (awaits_the_far_end(leg.state)) leg.since = now;
-    for (auto& [id, reset] : resets_) reset.at = now;
+        if (awaits_far_end(leg.state)) leg.since = now;
+    for (auto& [id, reset] : pending_resets_) reset.sent_at = now;
     if (resumed) return;
 
-    // Only what stands is claimed. All else has no owner at the far end, or may have none.
+    // Only standing calls are claimed. The far end may no longer know of any others.
     synced_ = false;
-    last_taken_ = kNoCall;
-    last_reset_heard_ = 0;
-    audit_.forget();
-    resets_.clear();
+    last_far_ref_ = kNoCall;
+    last_far_reset_id_ = 0;
+    audit_.clear();
+    pending_resets_.clear();
     for (auto at = legs_.begin(); at != legs_.end();) {
         const auto leg = at++;
         if (leg->second.state == LegState::standing) continue;
-        end(leg, Reason::link_lost, out);
+        report_end(leg, Reason::link_lost, out);
         legs_.erase(leg);
     }
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n) {
@@ -193,16 +196,16 @@
 void Group::link_down(Instant now, Effects& out) {
     if (!std::exchange(up_, false)) return;
     down_since_ = now;
-    held_on_ = true;
-    // Nobody may wait for an answer over a link that is cut. Should the far end have answered, its call is
+    holds_calls_ = true;
+    // No set-up may wait for an answer while the link is down. If the far end has answered, its call is
     // released on the next connection.
-    std::vector<CallRef> open;
+    std::vector<CallRef> unanswered;
     for (const auto& [ref, leg] : legs_)
-        if (unanswered(leg.state)) open.push_back(ref);
-    for (const CallRef ref : open) {
+        if (is_unanswered(leg.state)) unanswered.push_back(ref);
+    for (const CallRef ref : unanswered) {
         const auto at = legs_.find(ref);
-        end(at, Reason::link_lost, out);
-        let_go(now, at, Reason::link_lost, out);
+        report_end(at, Reason::link_lost, out);
+        start_release(now, at, Reason::link_lost, out);
     }
 }
 
@@ -212,81 +215,83 @@
 }
 
 const char* Group::on(Instant now, const Claims& m, Effects& out) {
-    if (synced_) return "claims on a link that goes on";
-    if (const char* wrong = find_error(m, circuits_.size())) return wrong;
-    const Reconciled result = reconcile(claims(), m.calls);
+    if (synced_) return "claims on a link that has not restarted";
+    if (const char* error = find_error(m, circuits_.size())) return error;
+    const Reconciliation result = reconcile(claims(), m.calls);
     counts_.recovered += result.kept.size();
-    counts_.not_recovered += result.ours.size();
-    for (const CallRef ref : result.ours) {
+    counts_.not_recovered += result.only_ours.size();
+    for (const CallRef ref : result.only_ours) {
         const auto at = legs_.find(ref);
-        end(at, Reason::cut, out);
-        erase(at, out);
+        report_end(at, Reason::cut, out);
+        remove(at, out);
     }
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n)
         if (circuits_.at(n).state == CircuitState::unsure) circuits_.apply(n, CircuitEvent::clear, kNoCall);
     for (const auto& [n, blocking] : m.blocked) circuits_.block_there(n, blocking);
     synced_ = true;
-    held_on_ = false;
+    holds_calls_ = false;
     (void)now;
     return nullptr;
 }
 
 // ---- Seizures --------------------------------------------------------------------------------------
 
-// Our seizures that crossed this one and lose to it are given back at once: they never ran, and may route
-// again. False: one of ours stands.
-bool Group::yield_to(Instant now, const Seize& m, Effects& out) {
+// Settles the glares between the far end's seizure and this end's seizures that crossed it. Seizures of this
+// end that lose are reported as ended at once: their set-ups never reached the far hub and may be routed
+// again. False if a seizure of this end wins.
+bool Group::resolve_glare(Instant now, const Seize& m, Effects& out) {
     std::set<CallRef> crossed;
     for (const CircuitNumber n : m.circuits)
         if (const Circuit& c = circuits_.at(n); c.state == CircuitState::seizing) crossed.insert(c.call);
-    bool yields = true;
-    // One that has yielded to another before is judged all the same. Guards against the far end taking this
-    // one for the winner of the pair, which it judges too, while it is given up here.
+    bool far_end_wins = true;
+    // A seizure of this end that has already yielded to another one is compared all the same. The far end
+    // compares this pair too, and where this end's seizure wins it gives up its own one, which must then not
+    // be accepted here.
     std::erase_if(yielding_, [&](CallRef ref) {
         const Leg* yielded = leg(ref);
         if (!yielded || yielded->state != LegState::yielding) return true;
         if (lowest_contested_circuit(yielded->circuits, m.circuits) &&
             rules_.glare_rule(rules_.point_codes, yielded->circuits, m.circuits))
-            yields = false;
+            far_end_wins = false;
         return false;
     });
     for (const CallRef ref : crossed) {
         ++counts_.glares;
         const auto at = legs_.find(ref);
         if (rules_.glare_rule(rules_.point_codes, at->second.circuits, m.circuits)) {
-            yields = false;
+            far_end_wins = false;
             continue;
         }
         ++counts_.glares_lost;
-        lately_ = m.circuits;
-        end(at, Reason::glare, out);
-        move(at->second, ref, LegState::yielding, CircuitEvent::yield, now);
+        avoid_ = m.circuits;
+        report_end(at, Reason::glare, out);
+        change_state(at->second, ref, LegState::yielding, CircuitEvent::yield, now);
         yielding_.insert(ref);
     }
-    return yields;
+    return far_end_wins;
 }
 
 const char* Group::on(Instant now, const Seize& m, Effects& out) {
-    if (ours(m.call)) return "a seizure in our name";
-    if (!exist(m.circuits)) return "a seizure of a circuit that does not exist";
-    // Repeated. Guards against a call that is over and would come to life again at this end alone.
-    if (m.call <= last_taken_) return nullptr;
-    last_taken_ = m.call;
+    if (is_ours(m.call)) return "a seizure with a reference of the receiving end";
+    if (!all_exist(m.circuits)) return "a seizure of a circuit that does not exist";
+    // A repeated message. Without this check an ended call would exist again, at this end alone.
+    if (m.call <= last_far_ref_) return nullptr;
+    last_far_ref_ = m.call;
     Reason reason = Reason::normal;
-    // Each crossing pair is judged by itself, also where this seizure fails for another reason: the far end
-    // judges the same pair when it hears of ours.
-    if (!yield_to(now, m, out)) reason = Reason::glare;
+    // Each crossing pair is compared by itself, also if this seizure fails for another reason: the far end
+    // compares the same pair when it receives this end's seizure.
+    if (!resolve_glare(now, m, out)) reason = Reason::glare;
     for (const CircuitNumber n : m.circuits) {
         const Circuit& c = circuits_.at(n);
         CircuitState next{};
         if (reason == Reason::normal && c.blocked_here != Blocking::none) reason = Reason::unusable;
-        // Guards a call of ours, and a circuit whose release or reset the far end has not confirmed.
+        // The circuit has a call of this end, or a release or reset that the far end has not confirmed.
         if (reason != Reason::glare && !next_state(c.state, CircuitEvent::accept_incoming, next))
             reason = Reason::not_idle;
-        const bool held = c.state == CircuitState::proceeding || c.state == CircuitState::incoming ||
-                          c.state == CircuitState::standing;
-        if (!held) continue;
-        ++counts_.contradictions;  // the far end takes it for idle
+        const bool is_held = c.state == CircuitState::proceeding || c.state == CircuitState::incoming ||
+                             c.state == CircuitState::standing;
+        if (!is_held) continue;
+        ++counts_.contradictions;  // the far end believes that it is idle
         audit_.start_now(now);
     }
     if (reason != Reason::normal) {
@@ -303,35 +308,35 @@
 }
 
 const char* Group::on(Instant now, const Accept& m, Effects& out) {
-    if (!ours(m.call)) return "an acceptance of its own seizure";
+    if (!is_ours(m.call)) return "an acceptance of the sender's own seizure";
     const auto at = legs_.find(m.call);
     if (at == legs_.end() || at->second.state == LegState::yielding) {
-        // Nobody here has the call any more; the far end must not hold circuits for it.
+        // This end no longer has the call, so the far end must not hold circuits for it.
         ++counts_.contradictions;
         if (at != legs_.end()) at->second.state = LegState::releasing, at->second.since = now;
         out.push_back(Send{Release{m.call, Reason::normal}});
         return nullptr;
     }
     if (at->second.state == LegState::seizing)
-        move(at->second, m.call, LegState::proceeding, CircuitEvent::accept, now);
+        change_state(at->second, m.call, LegState::proceeding, CircuitEvent::accept, now);
     return nullptr;
 }
 
 const char* Group::on(Instant now, const Reject& m, Effects& out) {
-    if (!ours(m.call)) return "a rejection of its own seizure";
+    if (!is_ours(m.call)) return "a rejection of the sender's own seizure";
     const auto at = legs_.find(m.call);
     if (at == legs_.end()) return nullptr;
     if (m.reason == Reason::not_idle || m.reason == Reason::unusable) {
-        lately_ = at->second.circuits;
+        avoid_ = at->second.circuits;
         audit_.start_now(now);
     }
-    end(at, at->second.state == LegState::standing ? Reason::cut : m.reason, out);
-    erase(at, out);
+    report_end(at, at->second.state == LegState::standing ? Reason::cut : m.reason, out);
+    remove(at, out);
     return nullptr;
 }
 
 const char* Group::on(Instant now, const Answer& m, Effects& out) {
-    if (!ours(m.call)) return "an answer to its own seizure";
+    if (!is_ours(m.call)) return "an answer to the sender's own seizure";
     const auto at = legs_.find(m.call);
     if (at == legs_.end()) {
         ++counts_.contradictions;
@@ -339,9 +344,9 @@
         return nullptr;
     }
     if (at->second.state == LegState::seizing) return "an answer before the acceptance";
-    if (at->second.state != LegState::proceeding) return nullptr;  // crossed our release, or repeated
+    if (at->second.state != LegState::proceeding) return nullptr;  // it crossed a release, or is a repeat
     ++counts_.answered;
-    move(at->second, m.call, LegState::standing, CircuitEvent::answer, now);
+    change_state(at->second, m.call, LegState::standing, CircuitEvent::answer, now);
     out.push_back(StoreCall{{m.call, at->second.circuits}, at->second.call, true});
     out.push_back(Answered{m.call, at->second.call, m.description});
     return nullptr;
@@ -351,8 +356,8 @@
 
 const char* Group::on(Instant, const Release& m, Effects& out) {
     if (const auto at = legs_.find(m.call); at != legs_.end()) {
-        end(at, m.reason, out);
-        erase(at, out);
+        report_end(at, m.reason, out);
+        remove(at, out);
     }
     out.push_back(Send{ReleaseComplete{m.call}});
     return nullptr;
@@ -360,45 +365,46 @@
 
 const char* Group::on(Instant, const ReleaseComplete& m, Effects& out) {
     const auto at = legs_.find(m.call);
-    if (at != legs_.end() && at->second.state == LegState::releasing) erase(at, out);
+    if (at != legs_.end() && at->second.state == LegState::releasing) remove(at, out);
     return nullptr;
 }
 
-// Whatever is held on these circuits ends. Where a wide call has circuits beside them, the far end may still
-// hold those: they are released and stay out of use until it confirms.
-void Group::cut_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out) {
-    std::set<CallRef> held;
+// Ends all calls on these circuits. If a wide call has other circuits as well, the far end may still hold
+// those: the call is released, and they stay out of use until the far end confirms.
+void Group::end_calls_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out) {
+    std::set<CallRef> calls;
     for (const CircuitNumber n : circuits)
-        if (const CallRef ref = circuits_.at(n).call; ref != kNoCall) held.insert(ref);
-    for (const CallRef ref : held) {
+        if (const CallRef ref = circuits_.at(n).call; ref != kNoCall) calls.insert(ref);
+    for (const CallRef ref : calls) {
         const auto at = legs_.find(ref);
         if (at == legs_.end()) continue;
         const CircuitList& own = at->second.circuits;
-        const bool whole = std::includes(circuits.begin(), circuits.end(), own.begin(), own.end());
-        end(at, reason, out);
-        if (!whole && !awaits_the_far_end(at->second.state))
-            let_go(now, at, reason, out);
-        else if (whole)
-            erase(at, out);
+        const bool covers_all = std::includes(circuits.begin(), circuits.end(), own.begin(), own.end());
+        report_end(at, reason, out);
+        if (!covers_all && !awaits_far_end(at->second.state))
+            start_release(now, at, reason, out);
+        else if (covers_all)
+            remove(at, out);
     }
 }
 
 const char* Group::on(Instant now, const Reset& m, Effects& out) {
-    if (!exist(m.circuits)) return "a reset of a circuit that does not exist";
+    if (!all_exist(m.circuits)) return "a reset of a circuit that does not exist";
     out.push_back(Send{ResetDone{m.id, m.circuits}});
-    if (m.id <= last_reset_heard_) return nullptr;  // repeated: what is there now came after it
-    last_reset_heard_ = m.id;
+    if (m.id <= last_far_reset_id_) return nullptr;  // a repeat; the calls on the circuits now are newer
+    last_far_reset_id_ = m.id;
     ++counts_.resets;
-    cut_on(now, m.circuits, Reason::reset, out);
+    end_calls_on(now, m.circuits, Reason::reset, out);
     for (const CircuitNumber n : m.circuits) circuits_.apply(n, CircuitEvent::clear, kNoCall);
     return nullptr;
 }
 
 const char* Group::on(Instant, const ResetDone& m, Effects&) {
-    const auto pending = resets_.find(m.id);
-    if (pending == resets_.end() || pending->second.circuits != m.circuits) return nullptr;  // repeated
-    resets_.erase(pending);
-    // A reset of the far end that crossed ours has made them idle before; they may be in use again.
+    const auto pending = pending_resets_.find(m.id);
+    if (pending == pending_resets_.end() || pending->second.circuits != m.circuits)
+        return nullptr;  // a repeat
+    pending_resets_.erase(pending);
+    // A reset of the far end that crossed this one has already made them idle; they may be in use again.
     for (const CircuitNumber n : m.circuits)
         if (circuits_.at(n).state == CircuitState::resetting)
             circuits_.apply(n, CircuitEvent::clear, kNoCall);
@@ -407,12 +413,11 @@
 
 void Group::send_reset(Instant now, CircuitList circuits, Effects& out) {
     for (const CircuitNumber n : circuits) circuits_.apply(n, CircuitEvent::reset, kNoCall);
-    const std::uint32_t id = ++last_reset_;
+    const std::uint32_t id = ++last_reset_id_;
     out.push_back(Send{Reset{id, circuits}});
-    resets_[id] = {std::move(circuits), now};
+    pending_resets_[id] = {std::move(circuits), now};
 }
 
-// A call that has a circuit among these is reset with all of its circuits.
 void Group::reset(Instant now, const CircuitList& circuits, Reason reason, Effects& out) {
     if (!in_service()) return;
     std::set<CircuitNumber> all;
@@ -425,7 +430,7 @@
     }
     if (all.empty()) return;
     CircuitList list(all.begin(), all.end());
-    cut_on(now, list, reason, out);
+    end_calls_on(now, list, reason, out);
     send_reset(now, std::move(list), out);
 }
 
@@ -433,27 +438,28 @@
 
 void Group::block(Instant now, const CircuitList& circuits, Blocking blocking, Effects& out) {
     CircuitList known;
-    std::set<CallRef> cut;
+    std::set<CallRef> to_cut;
     for (const CircuitNumber n : circuits) {
         if (!circuits_.exists(n)) continue;
         known.push_back(n);
         circuits_.block_here(n, blocking);
         out.push_back(StoreBlocking{n, blocking});
-        if (blocking == Blocking::hard && circuits_.at(n).call != kNoCall) cut.insert(circuits_.at(n).call);
+        if (blocking == Blocking::hard && circuits_.at(n).call != kNoCall)
+            to_cut.insert(circuits_.at(n).call);
     }
     if (known.empty()) return;
-    out.push_back(Send{Block{false, blocking, known}});  // a link that starts anew tells it with the claims
-    for (const CallRef ref : cut) {
+    out.push_back(Send{Block{false, blocking, known}});  // if the link restarts, the claims report it
+    for (const CallRef ref : to_cut) {
         const auto at = legs_.find(ref);
-        if (at == legs_.end() || awaits_the_far_end(at->second.state)) continue;
-        end(at, Reason::cut, out);
-        let_go(now, at, Reason::cut, out);
+        if (at == legs_.end() || awaits_far_end(at->second.state)) continue;
+        report_end(at, Reason::cut, out);
+        start_release(now, at, Reason::cut, out);
     }
 }
 
 const char* Group::on(Instant, const Block& m, Effects& out) {
-    if (!exist(m.circuits)) return "blocking of a circuit that does not exist";
-    if (m.done) return nullptr;
+    if (!all_exist(m.circuits)) return "blocking of a circuit that does not exist";
+    if (m.is_acknowledgement) return nullptr;
     for (const CircuitNumber n : m.circuits) circuits_.block_there(n, m.blocking);
     out.push_back(Send{Block{true, m.blocking, m.circuits}});
     return nullptr;
@@ -470,7 +476,7 @@
 }
 
 const char* Group::on(Instant now, const QueryResponse& m, Effects& out) {
-    const std::vector<CircuitNumber> stuck = audit_.judge(m, circuits_);
+    const std::vector<CircuitNumber> stuck = audit_.evaluate(m, circuits_);
     if (stuck.empty()) return nullptr;
     for (const CircuitNumber n : stuck) {
         const CallRef ref = circuits_.at(n).call;
@@ -486,27 +492,28 @@
     audit_.start_now(now);
 }
 
-// ---- Time ------------------------------------------------------------------------------------------
+// ---- Timers ----------------------------------------------------------------------------------------
 
 Instant Group::next_timer() const {
-    if (!up_) return held_on_ && !legs_.empty() ? down_since_ + rules_.link_down_hold : Instant::max();
+    if (!up_) return holds_calls_ && !legs_.empty() ? down_since_ + rules_.link_down_hold : Instant::max();
     if (!synced_) return Instant::max();
-    Instant due = audit_.next_timer();
+    Instant next = audit_.next_timer();
     for (const auto& [ref, leg] : legs_)
-        if (awaits_the_far_end(leg.state)) due = std::min(due, leg.since + rules_.release_guard);
-    for (const auto& [id, reset] : resets_) due = std::min(due, reset.at + rules_.reset_repeat_interval);
-    return due;
+        if (awaits_far_end(leg.state)) next = std::min(next, leg.since + rules_.release_guard);
+    for (const auto& [id, reset] : pending_resets_)
+        next = std::min(next, reset.sent_at + rules_.reset_repeat_interval);
+    return next;
 }
 
 void Group::run_timers(Instant now, Effects& out) {
     if (!up_) {
-        if (!held_on_ || now < down_since_ + rules_.link_down_hold) return;
-        held_on_ = false;
-        // Callers must not stand for ever over a link that does not come back. The far end keeps its own
-        // time, so what it still has is not to be taken for ours: the next link starts anew.
+        if (!holds_calls_ || now < down_since_ + rules_.link_down_hold) return;
+        holds_calls_ = false;
+        // Calls must not stand for ever on a link that does not come back. The far end has its own time limit
+        // and may still hold these calls, so the link may not be resumed.
         for (auto at = legs_.begin(); at != legs_.end();) {
             const auto leg = at++;
-            end(leg, Reason::cut, out);
+            report_end(leg, Reason::cut, out);
             if (leg->second.state == LegState::standing)
                 out.push_back(RemoveCall{{leg->first, leg->second.circuits}});
             for (const CircuitNumber n : leg->second.circuits)
@@ -518,39 +525,38 @@
         return;
     }
     if (!synced_) return;
-    CircuitList unconfirmed;
+    CircuitList timed_out;
     for (auto at = legs_.begin(); at != legs_.end();) {
         const auto leg = at++;
-        if (!awaits_the_far_end(leg->second.state) || now < leg->second.since + rules_.release_guard)
-            continue;
+        if (!awaits_far_end(leg->second.state) || now < leg->second.since + rules_.release_guard) continue;
         ++counts_.release_timeouts;
         for (const CircuitNumber n : leg->second.circuits)
-            if (circuits_.at(n).call == leg->first) unconfirmed.push_back(n);
+            if (circuits_.at(n).call == leg->first) timed_out.push_back(n);
         legs_.erase(leg);
     }
-    std::sort(unconfirmed.begin(), unconfirmed.end());
-    if (!unconfirmed.empty()) send_reset(now, std::move(unconfirmed), out);
-    std::vector<CircuitList> again;
-    for (auto at = resets_.begin(); at != resets_.end();) {
+    std::sort(timed_out.begin(), timed_out.end());
+    if (!timed_out.empty()) send_reset(now, std::move(timed_out), out);
+    std::vector<CircuitList> to_repeat;
+    for (auto at = pending_resets_.begin(); at != pending_resets_.end();) {
         const auto reset = at++;
-        if (now < reset->second.at + rules_.reset_repeat_interval) continue;
-        CircuitList waiting;
+        if (now < reset->second.sent_at + rules_.reset_repeat_interval) continue;
+        CircuitList unconfirmed;
         for (const CircuitNumber n : reset->second.circuits)
-            if (circuits_.at(n).state == CircuitState::resetting) waiting.push_back(n);
-        if (!waiting.empty()) again.push_back(std::move(waiting));
-        resets_.erase(reset);
+            if (circuits_.at(n).state == CircuitState::resetting) unconfirmed.push_back(n);
+        if (!unconfirmed.empty()) to_repeat.push_back(std::move(unconfirmed));
+        pending_resets_.erase(reset);
     }
-    for (CircuitList& circuits : again) send_reset(now, std::move(circuits), out);
-    if (auto question = audit_.ask(now, circuits_)) out.push_back(Send{std::move(*question)});
+    for (CircuitList& circuits : to_repeat) send_reset(now, std::move(circuits), out);
+    if (auto query = audit_.next_query(now, circuits_)) out.push_back(Send{std::move(*query)});
 }
 
-// ---- For the search of states ------------------------------------------------------------------------
+// ---- For tests and experiments ------------------------------------------------------------------------
 
 std::string Group::state_key(Instant now) const {
-    std::string text = std::string(up_ ? "u" : "d") + (synced_ ? "s" : "-") + (held_on_ ? "h" : "-");
+    std::string text = std::string(up_ ? "u" : "d") + (synced_ ? "s" : "-") + (holds_calls_ ? "h" : "-");
     append(text, static_cast<std::int64_t>(next_ref_));
-    append(text, static_cast<std::int64_t>(last_taken_));
-    append(text, last_reset_heard_);
+    append(text, static_cast<std::int64_t>(last_far_ref_));
+    append(text, last_far_reset_id_);
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n) {
         const Circuit& c = circuits_.at(n);
         append(text, static_cast<int>(c.state));
@@ -560,18 +566,19 @@
     for (const auto& [ref, leg] : legs_) {
         append(text, static_cast<std::int64_t>(ref));
         append(text, static_cast<int>(leg.state));
-        if (awaits_the_far_end(leg.state)) append(text, (leg.since - now).count());
+        if (awaits_far_end(leg.state)) append(text, (leg.since - now).count());
     }
-    for (const auto& [id, reset] : resets_) append(text, id), append(text, (reset.at - now).count());
-    for (const CircuitNumber n : lately_) append(text, n);
-    if (!up_ && held_on_) append(text, (down_since_ - now).count());
+    for (const auto& [id, reset] : pending_resets_)
+        append(text, id), append(text, (reset.sent_at - now).count());
+    for (const CircuitNumber n : avoid_) append(text, n);
+    if (!up_ && holds_calls_) append(text, (down_since_ - now).count());
     if (audit_.next_timer() != Instant::max()) append(text, (audit_.next_timer() - now).count());
     return text;
 }
 
 void Group::inject_memory_loss(CallRef ref) {
-    Effects unheard;
-    if (const auto at = legs_.find(ref); at != legs_.end()) erase(at, unheard);
+    Effects ignored;
+    if (const auto at = legs_.find(ref); at != legs_.end()) remove(at, ignored);
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/group.hpp
+++ b/src/trunk/group.hpp
@@ -1,8 +1,8 @@
 // One end of a circuit group between two hubs: the procedures of Q.764 (seizure, dual seizure, release and
-// its guard, reset, blocking, query) over circuits, selection, glare, audit and recovery. Messages and orders
-// go in with the time, effects come out. No I/O and no clock.
+// its guard, reset, blocking, query) over circuits, selection, glare, audit and recovery. Messages and
+// commands go in with the time, effects come out. No I/O and no clock.
 //
-// The link keeps messages in order and loses none; where it can't, it starts anew (link_up with `resumed`
+// The link keeps messages in order and loses none. Where it cannot, it restarts (link_up with `resumed`
 // false), and both ends then settle on the calls that both still have.
 #pragma once
 
@@ -22,69 +22,83 @@
 
 namespace nettlestall::trunk {
 
+// Whether this end's seizure wins a dual seizure.
 using GlareRule = bool (*)(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs);
 
 struct GroupRules {
     PointCodes point_codes{};
     int circuits = 1;
     Hunting hunting = Hunting::own_half;
-    GlareRule glare_rule = &our_seizure_wins;  // another one only in experiments
+    GlareRule glare_rule = &our_seizure_wins;  // others only in experiments
     AuditRules audit{};
-    Duration release_guard = std::chrono::seconds(4);  // until what is not confirmed is reset (T1, T5)
-    Duration reset_repeat_interval = std::chrono::seconds(5);  // until a reset is repeated (T16, T17)
-    Duration link_down_hold = std::chrono::seconds(30);  // for calls that stand over a link that is down
+    Duration release_guard =
+        std::chrono::seconds(4);  // an unconfirmed release becomes a reset after this (T1, T5)
+    Duration reset_repeat_interval = std::chrono::seconds(5);  // an unconfirmed reset is repeated (T16, T17)
+    Duration link_down_hold =
+        std::chrono::seconds(30);  // standing calls are cut if the link is down for this long
 };
 
 enum class LegState : std::uint8_t { seizing, proceeding, incoming, standing, yielding, releasing };
+// The state's name in lower case.
 std::string_view name_of(LegState state);
 
-struct Leg {  // one call on the group
-    bool outgoing = false;
+// One call on the group.
+struct Leg {
+    bool outgoing = false;  // this end has seized the circuits
     LegState state = LegState::seizing;
     CircuitList circuits{};
     CallId call{};
-    Instant since{};  // of its state
+    Instant since{};  // start of the state
 };
 
-// ---- Effects ---------------------------------------------------------------------------------------
+// ---- Effects: what the caller of a Group has to carry out, in order ---------------------------------
 
+// Send a message to the far end.
 struct Send {
     Message message;
 };
-struct Offered {  // the far end's set-up
+// The far end sets up a call.
+struct Offered {
     CallRef ref;
-    int width;
+    int width;  // circuits
     CallData data;
 };
-struct Answered {  // our set-up
+// The far end has answered this end's set-up.
+struct Answered {
     CallRef ref;
     CallId call;
     std::string description;
 };
-struct Ended {  // a call of ours or theirs, by anything but this end's own release()
+// A call of either end has ended, other than by this end's own release().
+struct Ended {
     CallRef ref;
     CallId call;
     bool outgoing, was_answered;
     Reason reason;
 };
-struct StoreCall {  // a call stands; comes before the message that says so to the far end
+// Store a standing call in the ledger; comes before the message that reports the answer to the far end.
+struct StoreCall {
     Claim claim;
     CallId call;
     bool outgoing;
 };
-struct RemoveCall {  // it does so no longer
+// Remove a call from the ledger: it no longer stands.
+struct RemoveCall {
     Claim claim;
 };
+// Store in the ledger how this end blocks a circuit.
 struct StoreBlocking {
     CircuitNumber circuit;
     Blocking blocking;
 };
-struct FreedByAudit {  // by an audit
+// An audit has found the circuit held at one end only, and frees it.
+struct FreedByAudit {
     CircuitNumber circuit;
-    CallRef ref;  // what was held here; kNoCall: the far end held something
+    CallRef ref;  // the call on the circuit at this end; kNoCall: only the far end held one
     CallId call;
 };
-struct RestartLink {};  // the link must not be resumed: it has been down for too long
+// The link has been down for too long and must not be resumed.
+struct RestartLink {};
 using Effect = std::variant<Send, Offered, Answered, Ended, StoreCall, RemoveCall, StoreBlocking,
                             FreedByAudit, RestartLink>;
 using Effects = std::vector<Effect>;
@@ -93,55 +107,70 @@
     std::uint64_t seizures = 0, seizures_accepted = 0, glares = 0, glares_lost = 0, rejected = 0,
                   no_circuit = 0;
     std::uint64_t answered = 0, released = 0, resets = 0, audit_freed = 0, recovered = 0, not_recovered = 0;
-    std::uint64_t contradictions = 0,
-                  release_timeouts = 0;  // guards: releases that were not confirmed in time
+    std::uint64_t contradictions = 0;    // messages that do not fit what this end knows of its circuits
+    std::uint64_t release_timeouts = 0;  // releases that were not confirmed within the release guard
 };
 
 class Group {
    public:
-    // `life` differs from one start of this end to the next; 31 bits count.
+    // `incarnation` must differ from one start of this end to the next; its lower 31 bits count.
     Group(const GroupRules& rules, std::uint32_t incarnation);
-    void set_incarnation(std::uint32_t incarnation);  // another one, before the first call
+    // Only before the first call.
+    void set_incarnation(std::uint32_t incarnation);
 
     // ---- At the start, from a ledger
-    // False: a circuit of it does not exist or is another call's.
+    // Restores a standing call. False if one of its circuits does not exist or belongs to another call.
     bool restore(const Claim& claim, const CallId& call, bool outgoing, Instant now);
     void restore(CircuitNumber circuit, Blocking blocking);
 
-    // ---- Calls. kNoCall: no circuits, or the link is down; nothing was sent.
+    // ---- Calls
+    // Seizes `width` circuits. kNoCall if not enough are free or the group is out of service; nothing is sent
+    // then.
     CallRef set_up(Instant now, CallData data, int width, Effects& out);
-    bool answer(Instant now, CallRef ref, std::string description, Effects& out);  // of an incoming one
-    void release(Instant now, CallRef ref, Reason reason, Effects& out);           // of any, in any state
+    // Answers an incoming call. False if there is no unanswered incoming call of that reference.
+    bool answer(Instant now, CallRef ref, std::string description, Effects& out);
+    // Releases a call of either direction in any state. A call that is unknown, yielding or already released
+    // is ignored.
+    void release(Instant now, CallRef ref, Reason reason, Effects& out);
 
     // ---- The link
     void link_up(Instant now, bool resumed, Effects& out);
     void link_down(Instant now, Effects& out);
-    // What is wrong with a message that no honest far end sends: its connection is to be closed, and nothing
-    // here has changed. Null: nothing.
+    // Processes a message. Null if it was accepted, else an error text: a correct far end never sends such a
+    // message, its connection is to be closed, and nothing has changed here.
     const char* receive(Instant now, const Message& message, Effects& out);
 
-    // ---- Maintenance. Hard blocking cuts calls; Blocking::none unblocks.
+    // ---- Maintenance
+    // Blocks or (Blocking::none) unblocks circuits at this end. Hard blocking cuts the calls on them.
     void block(Instant now, const CircuitList& circuits, Blocking blocking, Effects& out);
+    // Resets circuits together with all circuits of the calls on them. Ignored while the group is out of
+    // service.
     void reset(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
     void audit_now(Instant now);
 
+    // Runs the timers that have expired.
     void run_timers(Instant now, Effects& out);
+    // When the next timer expires; Instant::max() if none is running.
     Instant next_timer() const;
 
+    // The link is up and both ends have settled on the standing calls.
     bool in_service() const { return up_ && synced_; }
-    // What the decision module is told: free circuits; none while nothing can be set up.
+    // Free circuits as reported to the decision module: zero while nothing can be set up.
     int free_circuits() const { return in_service() ? circuits_.free_count() : 0; }
     const Circuits& circuits() const { return circuits_; }
     const std::map<CallRef, Leg>& legs() const { return legs_; }
+    // Null if there is no such call.
     const Leg* leg(CallRef ref) const;
     const GroupRules& rules() const { return rules_; }
     const GroupCounts& counts() const { return counts_; }
     const Audit& audits() const { return audit_; }
-    void update_timers(const GroupRules& rules);  // a reload: all but ends, circuits and hunting
+    // Applies the time limits and audit rules of reloaded settings; the other rules stay.
+    void update_timers(const GroupRules& rules);
 
-    // All that decides what comes next, for the search of states; times relative to `now`.
+    // A text of everything that decides the further behaviour, with times relative to `now`. Equal texts mean
+    // equal states in an exhaustive search of states.
     std::string state_key(Instant now) const;
-    // For tests and the lab: the end forgets a call without a word, as a fault in memory would have it.
+    // For tests and the lab: removes a call without a message or an effect, as a memory fault would.
     void inject_memory_loss(CallRef ref);
 
    private:
@@ -160,15 +189,19 @@
     const char* on(Instant now, const QueryResponse& m, Effects& out);
     const char* on(Instant now, const Claims& m, Effects& out);
 
-    bool ours(CallRef ref) const { return ((ref >> 63) != 0) == rules_.point_codes.own_is_higher(); }
-    bool exist(const CircuitList& circuits) const;
-    void move(Leg& leg, CallRef ref, LegState to, CircuitEvent by, Instant now);
-    void end(Legs::iterator at, Reason reason, Effects& out);  // tells whoever has the call
-    void erase(Legs::iterator at, Effects& out);               // and clears its circuits
-    void let_go(Instant now, Legs::iterator at, Reason reason, Effects& out);
-    void cut_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
+    // Whether this end assigned the reference.
+    bool is_ours(CallRef ref) const { return ((ref >> 63) != 0) == rules_.point_codes.own_is_higher(); }
+    bool all_exist(const CircuitList& circuits) const;
+    // Changes a call's state and applies `event` to its circuits.
+    void change_state(Leg& leg, CallRef ref, LegState to, CircuitEvent event, Instant now);
+    // Reports the end of a call, unless this end has already released or given up the call.
+    void report_end(Legs::iterator at, Reason reason, Effects& out);
+    // Removes a call and clears its circuits.
+    void remove(Legs::iterator at, Effects& out);
+    void start_release(Instant now, Legs::iterator at, Reason reason, Effects& out);
+    void end_calls_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
     void send_reset(Instant now, CircuitList circuits, Effects& out);
-    bool yield_to(Instant now, const Seize& m, Effects& out);
+    bool resolve_glare(Instant now, const Seize& m, Effects& out);
     std::vector<Claim> claims() const;
 
     GroupRules rules_;
@@ -177,20 +210,23 @@
     Audit audit_;
     GroupCounts counts_;
     CallRef next_ref_ = 0;
-    bool up_ = false, synced_ = false;
+    bool up_ = false, synced_ = false;  // synced: the far end's claims have been processed
     Instant down_since_{};
-    bool held_on_ = false;  // calls stand over the link that is down
+    bool holds_calls_ = false;  // standing calls are held while the link is down
     struct PendingReset {
         CircuitList circuits;
-        Instant at;
+        Instant sent_at;
     };
-    std::map<std::uint32_t, PendingReset> resets_;
-    std::uint32_t last_reset_ = 0;
-    std::set<CallRef> yielding_;  // perhaps more than still do
-    // Of the far end, on this link: its references and reset numbers only rise.
-    CallRef last_taken_ = kNoCall;
-    std::uint32_t last_reset_heard_ = 0;
-    CircuitList lately_;  // contested in the last glare that was lost here
+    std::map<std::uint32_t, PendingReset> pending_resets_;  // by id
+    std::uint32_t last_reset_id_ = 0;
+    std::set<CallRef> yielding_;  // may contain calls that no longer yield
+    // The highest reference and reset id received from the far end on this link. Both only rise, so lower
+    // ones are repeats.
+    CallRef last_far_ref_ = kNoCall;
+    std::uint32_t last_far_reset_id_ = 0;
+    // Circuits that the next set-up avoids: those of the last glare lost here or of the last rejected
+    // seizure.
+    CircuitList avoid_;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/messages.cpp
+++ b/src/trunk/messages.cpp
@@ -6,42 +6,45 @@
 namespace nettlestall::trunk {
 namespace {
 
-// Kinds on the wire. Numbered messages follow in the order of their variant.
+// Values of a frame's kind field. A numbered message has kFirstMessage plus its index in the variant Message.
 enum Kind : std::uint8_t { kHello = 1, kHeartbeat = 2, kBye = 3, kFirstMessage = 16 };
 
-constexpr std::array<std::string_view, std::variant_size_v<Message>> kNames{
+constexpr std::array<std::string_view, std::variant_size_v<Message>> kMessageNames{
     "seize", "accept",     "reject", "answer", "release",        "release complete",
     "reset", "reset done", "block",  "query",  "query response", "claims"};
 
+// Appends fields to a text.
 class Writer {
    public:
     template <class T>
     Writer& number(T value) {
-        auto left = static_cast<std::uint64_t>(value);
-        char digits[sizeof(T)];
-        for (std::size_t i = sizeof(T); i-- > 0; left >>= 8) digits[i] = static_cast<char>(left & 0xff);
-        text_.append(digits, sizeof(T));
+        auto remaining = static_cast<std::uint64_t>(value);
+        char bytes[sizeof(T)];
+        for (std::size_t i = sizeof(T); i-- > 0; remaining >>= 8)
+            bytes[i] = static_cast<char>(remaining & 0xff);
+        bytes_.append(bytes, sizeof(T));
         return *this;
     }
     Writer& u8(int value) { return number(static_cast<std::uint8_t>(value)); }
     Writer& u16(int value) { return number(static_cast<std::uint16_t>(value)); }
     Writer& text(std::string_view value) {
         u16(static_cast<int>(value.size()));
-        text_.append(value);
+        bytes_.append(value);
         return *this;
     }
-    Writer& list(const CircuitList& circuits) {
-        u16(static_cast<int>(circuits.size()));
-        for (const CircuitNumber n : circuits) u16(n);
+    Writer& circuits(const CircuitList& list) {
+        u16(static_cast<int>(list.size()));
+        for (const CircuitNumber n : list) u16(n);
         return *this;
     }
-    std::string take() { return std::move(text_); }
+    std::string take() { return std::move(bytes_); }
 
    private:
-    std::string text_;
+    std::string bytes_;
 };
 
-// Once something is wrong all that follows is empty, and done() is false.
+// Reads fields from the start of `bytes`. After the first malformed field every further read yields zero or
+// an empty value, and is_at_end() is false.
 class Reader {
    public:
     explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -58,163 +61,168 @@
     int u8() { return number<std::uint8_t>(); }
     int u16() { return number<std::uint16_t>(); }
     std::uint32_t u32() { return number<std::uint32_t>(); }
-    bool flag() { return check(u8(), 1) == 1; }
+    bool flag() { return at_most(u8(), 1) == 1; }
     CallRef call() { return number<CallRef>(); }
-    int check(int value, int highest) {
-        if (value > highest) fail();
+    int at_most(int value, int max) {
+        if (value > max) fail();
         return ok_ ? value : 0;
     }
-    Reason reason() { return static_cast<Reason>(check(u8(), kReasonCount - 1)); }
-    Blocking blocking() { return static_cast<Blocking>(check(u8(), 2)); }
-    std::string text(std::size_t longest) {
+    Reason reason() { return static_cast<Reason>(at_most(u8(), kReasonCount - 1)); }
+    Blocking blocking() { return static_cast<Blocking>(at_most(u8(), 2)); }
+    std::string text(std::size_t max_bytes) {
         const auto length = static_cast<std::size_t>(u16());
-        if (length > bytes_.size() || length > longest) return fail(), std::string();
+        if (length > bytes_.size() || length > max_bytes) return fail(), std::string();
         std::string value(bytes_.substr(0, length));
         bytes_.remove_prefix(length);
         return value;
     }
     CircuitNumber circuit() {
-        const int value = check(u16(), kMaxCircuitsPerGroup);
+        const int value = at_most(u16(), kMaxCircuitsPerGroup);
         if (value < 1) fail();
         return value;
     }
-    CircuitList list(int most) {
-        const int count = check(u16(), most);
+    // At most `max` circuits in strictly ascending order.
+    CircuitList circuits(int max) {
+        const int count = at_most(u16(), max);
         if (static_cast<std::size_t>(count) * 2 > bytes_.size()) fail();
-        CircuitList circuits;
+        CircuitList list;
         for (int i = 0; ok_ && i < count; ++i) {
-            circuits.push_back(circuit());
-            if (i > 0 && circuits[static_cast<std::size_t>(i)] <= circuits[static_cast<std::size_t>(i - 1)])
-                fail();
+            list.push_back(circuit());
+            if (i > 0 && list[static_cast<std::size_t>(i)] <= list[static_cast<std::size_t>(i - 1)]) fail();
         }
-        return circuits;
+        return list;
     }
-    // So many entries of at least `bytes` each can follow.
-    int count(int most, std::size_t bytes) {
-        const int n = check(u16(), most);
-        if (static_cast<std::size_t>(n) * bytes > bytes_.size()) return fail(), 0;
+    // The number of entries of a list, at most `max`. It fails if fewer bytes are left than that many entries
+    // of `min_entry_bytes` each need, so no memory is reserved for entries that cannot follow.
+    int entry_count(int max, std::size_t min_entry_bytes) {
+        const int n = at_most(u16(), max);
+        if (static_cast<std::size_t>(n) * min_entry_bytes > bytes_.size()) return fail(), 0;
         return n;
     }
     void fail() { ok_ = false, bytes_ = {}; }
     bool ok() const { return ok_; }
-    bool done() const { return ok_ && bytes_.empty(); }
+    bool is_at_end() const { return ok_ && bytes_.empty(); }
 
    private:
     std::string_view bytes_;
     bool ok_ = true;
 };
 
-void put(Writer& w, const Seize& m) {
+void write(Writer& w, const Seize& m) {
     const CallData& d = m.data;
-    w.number(m.call).list(m.circuits).text(d.call).text(d.service_class).text(d.number);
+    w.number(m.call).circuits(m.circuits).text(d.call).text(d.service_class).text(d.number);
     w.number(static_cast<std::int32_t>(d.destination)).number(static_cast<std::int32_t>(d.via));
-    w.number(static_cast<std::int64_t>(d.wait.count())).u8(d.again).u8(d.redial).text(d.description);
+    w.number(static_cast<std::int64_t>(d.time_limit.count())).u8(d.was_cut).u8(d.redial).text(d.description);
 }
-void put(Writer& w, const Accept& m) {
+void write(Writer& w, const Accept& m) {
     w.number(m.call);
 }
-void put(Writer& w, const Reject& m) {
+void write(Writer& w, const Reject& m) {
     w.number(m.call).u8(static_cast<int>(m.reason));
 }
-void put(Writer& w, const Answer& m) {
+void write(Writer& w, const Answer& m) {
     w.number(m.call).text(m.description);
 }
-void put(Writer& w, const Release& m) {
+void write(Writer& w, const Release& m) {
     w.number(m.call).u8(static_cast<int>(m.reason));
 }
-void put(Writer& w, const ReleaseComplete& m) {
+void write(Writer& w, const ReleaseComplete& m) {
     w.number(m.call);
 }
-void put(Writer& w, const Reset& m) {
-    w.number(m.id).list(m.circuits);
+void write(Writer& w, const Reset& m) {
+    w.number(m.id).circuits(m.circuits);
 }
-void put(Writer& w, const ResetDone& m) {
-    w.number(m.id).list(m.circuits);
+void write(Writer& w, const ResetDone& m) {
+    w.number(m.id).circuits(m.circuits);
 }
-void put(Writer& w, const Block& m) {
-    w.u8(m.done).u8(static_cast<int>(m.blocking)).list(m.circuits);
+void write(Writer& w, const Block& m) {
+    w.u8(m.is_acknowledgement).u8(static_cast<int>(m.blocking)).circuits(m.circuits);
 }
-void put(Writer& w, const Query& m) {
+void write(Writer& w, const Query& m) {
     w.number(m.id).u16(m.first).u16(m.count);
 }
-void put(Writer& w, const QueryResponse& m) {
+void write(Writer& w, const QueryResponse& m) {
     w.number(m.id).u16(m.first).u16(static_cast<int>(m.calls.size()));
     for (const CallRef call : m.calls) w.number(call);
 }
-void put(Writer& w, const Claims& m) {
+void write(Writer& w, const Claims& m) {
     w.u16(static_cast<int>(m.calls.size()));
-    for (const Claim& c : m.calls) w.number(c.call).list(c.circuits);
+    for (const Claim& c : m.calls) w.number(c.call).circuits(c.circuits);
     w.u16(static_cast<int>(m.blocked.size()));
     for (const auto& [circuit, blocking] : m.blocked) w.u16(circuit).u8(static_cast<int>(blocking));
 }
 
-void get(Reader& r, Seize& m) {
-    m.call = r.call(), m.circuits = r.list(kMaxCircuitsPerCall);
+void read(Reader& r, Seize& m) {
+    m.call = r.call(), m.circuits = r.circuits(kMaxCircuitsPerCall);
     CallData& d = m.data;
     d.call = r.text(kMaxTextBytes), d.service_class = r.text(kMaxTextBytes), d.number = r.text(kMaxTextBytes);
     d.destination = r.number<std::int32_t>(), d.via = r.number<std::int32_t>();
-    d.wait = Duration(r.number<std::int64_t>());
-    d.again = r.flag(), d.redial = r.flag(), d.description = r.text(kMaxDescriptionBytes);
+    d.time_limit = Duration(r.number<std::int64_t>());
+    d.was_cut = r.flag(), d.redial = r.flag(), d.description = r.text(kMaxDescriptionBytes);
     if (m.call == kNoCall || m.circuits.empty() || d.call.empty()) r.fail();
 }
-void get(Reader& r, Accept& m) {
+void read(Reader& r, Accept& m) {
     m.call = r.call();
 }
-void get(Reader& r, Reject& m) {
+void read(Reader& r, Reject& m) {
     m.call = r.call(), m.reason = r.reason();
 }
-void get(Reader& r, Answer& m) {
+void read(Reader& r, Answer& m) {
     m.call = r.call(), m.description = r.text(kMaxDescriptionBytes);
 }
-void get(Reader& r, Release& m) {
+void read(Reader& r, Release& m) {
     m.call = r.call(), m.reason = r.reason();
 }
-void get(Reader& r, ReleaseComplete& m) {
+void read(Reader& r, ReleaseComplete& m) {
     m.call = r.call();
 }
-void get(Reader& r, Reset& m) {
-    m.id = r.u32(), m.circuits = r.list(kMaxCircuitsPerGroup);
+void read(Reader& r, Reset& m) {
+    m.id = r.u32(), m.circuits = r.circuits(kMaxCircuitsPerGroup);
 }
-void get(Reader& r, ResetDone& m) {
-    m.id = r.u32(), m.circuits = r.list(kMaxCircuitsPerGroup);
+void read(Reader& r, ResetDone& m) {
+    m.id = r.u32(), m.circuits = r.circuits(kMaxCircuitsPerGroup);
 }
-void get(Reader& r, Block& m) {
-    m.done = r.flag(), m.blocking = r.blocking(), m.circuits = r.list(kMaxCircuitsPerGroup);
+void read(Reader& r, Block& m) {
+    m.is_acknowledgement = r.flag(), m.blocking = r.blocking(), m.circuits = r.circuits(kMaxCircuitsPerGroup);
 }
-void get(Reader& r, Query& m) {
-    m.id = r.u32(), m.first = r.circuit(), m.count = r.check(r.u16(), kMaxCircuitsPerGroup);
+void read(Reader& r, Query& m) {
+    m.id = r.u32(), m.first = r.circuit(), m.count = r.at_most(r.u16(), kMaxCircuitsPerGroup);
 }
-void get(Reader& r, QueryResponse& m) {
+void read(Reader& r, QueryResponse& m) {
     m.id = r.u32(), m.first = r.circuit();
-    for (int left = r.count(kMaxCircuitsPerGroup, sizeof(CallRef)); r.ok() && left > 0; --left)
+    for (int remaining = r.entry_count(kMaxCircuitsPerGroup, sizeof(CallRef)); r.ok() && remaining > 0;
+         --remaining)
         m.calls.push_back(r.call());
 }
-void get(Reader& r, Claims& m) {
-    for (int left = r.count(kMaxCircuitsPerGroup, 12); r.ok() && left > 0; --left) {
+void read(Reader& r, Claims& m) {
+    for (int remaining = r.entry_count(kMaxCircuitsPerGroup, 12); r.ok() && remaining > 0; --remaining) {
         Claim& claim = m.calls.emplace_back();
-        claim.call = r.call(), claim.circuits = r.list(kMaxCircuitsPerCall);
+        claim.call = r.call(), claim.circuits = r.circuits(kMaxCircuitsPerCall);
         if (claim.call == kNoCall || claim.circuits.empty()) r.fail();
     }
-    for (int left = r.count(kMaxCircuitsPerGroup, 3); r.ok() && left > 0; --left) {
+    for (int remaining = r.entry_count(kMaxCircuitsPerGroup, 3); r.ok() && remaining > 0; --remaining) {
         const CircuitNumber circuit = r.circuit();
         m.blocked.emplace_back(circuit, r.blocking());
     }
 }
 
+// Reads the fields of the message at `index` of the variant; std::nullopt if they are malformed or there is
+// no such message.
 template <std::size_t I = 0>
-std::optional<Message> read_message(std::size_t which, Reader& reader) {
+std::optional<Message> read_message(std::size_t index, Reader& reader) {
     if constexpr (I < std::variant_size_v<Message>) {
-        if (which != I) return read_message<I + 1>(which, reader);
+        if (index != I) return read_message<I + 1>(index, reader);
         std::variant_alternative_t<I, Message> message;
-        get(reader, message);
-        if (!reader.done()) return std::nullopt;
+        read(reader, message);
+        if (!reader.is_at_end()) return std::nullopt;
         return Message(std::move(message));
     } else {
         return std::nullopt;
     }
 }
 
-std::string body_of(const Frame& frame) {
+// The frame's kind and its fields.
+std::string encode_body(const Frame& frame) {
     Writer w;
     if (const auto* hello = std::get_if<Hello>(&frame)) {
         w.u8(kHello).u16(hello->version).u16(hello->point).u16(hello->far_point).number(hello->group);
@@ -230,7 +238,7 @@
         const auto& numbered = std::get<NumberedMessage>(frame);
         w.u8(kFirstMessage + static_cast<int>(numbered.message.index()));
         w.number(numbered.sequence).number(numbered.received);
-        std::visit([&w](const auto& message) { put(w, message); }, numbered.message);
+        std::visit([&w](const auto& message) { write(w, message); }, numbered.message);
     }
     return w.take();
 }
@@ -238,11 +246,11 @@
 }  // namespace
 
 std::string_view name_of(const Message& message) {
-    return kNames[message.index()];
+    return kMessageNames[message.index()];
 }
 
 std::string encode(const Frame& frame) {
-    const std::string body = body_of(frame);
+    const std::string body = encode_body(frame);
     return Writer().number(static_cast<std::uint32_t>(body.size())).take() + body;
 }
 
@@ -253,13 +261,13 @@
         Hello m;
         m.version = r.number<std::uint16_t>(), m.point = r.u16(), m.far_point = r.u16(), m.group = r.u32();
         m.circuits = r.u16(), m.incarnation = r.u32(), m.far_incarnation = r.u32(), m.received = r.u32();
-        if (r.done()) return m;
+        if (r.is_at_end()) return m;
     } else if (kind == kHeartbeat) {
         const Heartbeat m{r.u32()};
-        if (r.done()) return m;
+        if (r.is_at_end()) return m;
     } else if (kind == kBye) {
         Bye m{r.text(kMaxTextBytes)};
-        if (r.done()) return m;
+        if (r.is_at_end()) return m;
     } else if (kind >= kFirstMessage) {
         NumberedMessage m;
         m.sequence = r.u32(), m.received = r.u32();
@@ -273,15 +281,15 @@
 
 FrameReader::Status FrameReader::next(Frame& frame) {
     const std::string_view rest = std::string_view(bytes_).substr(begin_);
-    const auto drop = [this] { bytes_.erase(0, std::exchange(begin_, 0)); };
-    if (rest.size() < kFrameLengthBytes) return drop(), Status::incomplete;
+    const auto discard_decoded = [this] { bytes_.erase(0, std::exchange(begin_, 0)); };
+    if (rest.size() < kFrameLengthBytes) return discard_decoded(), Status::incomplete;
     const std::size_t length = Reader(rest.substr(0, kFrameLengthBytes)).u32();
-    // Judged before there is room for what it announces.
+    // Checked before any memory is used for the announced length.
     if (length == 0 || length > kMaxFrameBytes) return Status::malformed;
-    if (rest.size() - kFrameLengthBytes < length) return drop(), Status::incomplete;
-    auto found = decode(rest.substr(kFrameLengthBytes, length));
-    if (!found) return Status::malformed;
-    frame = std::move(*found);
+    if (rest.size() - kFrameLengthBytes < length) return discard_decoded(), Status::incomplete;
+    auto decoded = decode(rest.substr(kFrameLengthBytes, length));
+    if (!decoded) return Status::malformed;
+    frame = std::move(*decoded);
     begin_ += kFrameLengthBytes + length;
     return Status::complete;
 }
--- a/src/trunk/messages.hpp
+++ b/src/trunk/messages.hpp
@@ -1,11 +1,14 @@
-// The messages of the trunk signalling and their compact binary coding. Terms follow Q.763, the coding is our
-// own: numbers are big-endian, lists and texts have their length before them.
+// The messages of the trunk signalling and their compact binary coding. The terms follow Q.763, the coding is
+// this project's own: numbers are big-endian, a list follows its number of entries and a text its length,
+// each of 2 bytes. Field widths below are in bytes.
 //
-//     frame   = length:4 kind:1 body        length counts what follows it
-//     hello   = version:2 point:2 far point:2 group:4 circuits:2 life:4 far life:4 received:4
-//     numbered = sequence:4 received:4, then the message's own fields; heartbeat = received:4; bye = text
+//     frame     = length:4 kind:1 body        length counts the bytes that follow it
+//     hello     = version:2 point:2 far point:2 group:4 circuits:2 incarnation:4 far incarnation:4 received:4
+//     numbered  = sequence:4 received:4, then the message's own fields
+//     heartbeat = received:4
+//     bye       = text
 //
-// Knows no socket, no clock and no state of a group.
+// Pure functions and data: no socket, no clock and no group state.
 #pragma once
 
 #include <optional>
@@ -18,116 +21,138 @@
 
 namespace nettlestall::trunk {
 
-// ---- Between groups, numbered ----------------------------------------------------------------------
+// ---- Messages about calls and circuits, sent as NumberedMessage ------------------------------------
 
-struct Seize {  // initial address (IAM); the circuits rise
+// Initial address (IAM): seizes circuits for a call. The circuits are in ascending order.
+struct Seize {
     CallRef call = kNoCall;
     CircuitList circuits{};
     CallData data{};
 };
-struct Accept {  // address complete (ACM): the circuits are taken
+// Address complete (ACM): the far end has accepted the seizure.
+struct Accept {
     CallRef call = kNoCall;
 };
-struct Reject {  // the seizure comes to nothing; nothing is held for it at the end that says so
+// The seizure is rejected: the end that sends this holds no circuit for it.
+struct Reject {
     CallRef call = kNoCall;
     Reason reason = Reason::failed;
 };
-struct Answer {  // answer (ANM): the call stands
+// Answer (ANM): the call is answered.
+struct Answer {
     CallRef call = kNoCall;
     std::string description{};
 };
-struct Release {  // release (REL), before or after the answer
+// Release (REL), before or after the answer.
+struct Release {
     CallRef call = kNoCall;
     Reason reason = Reason::normal;
 };
-struct ReleaseComplete {  // release complete (RLC)
+// Release complete (RLC).
+struct ReleaseComplete {
     CallRef call = kNoCall;
 };
-struct Reset {  // reset circuit (RSC) or circuit group reset (GRS)
+// Reset circuit (RSC) or circuit group reset (GRS).
+struct Reset {
     std::uint32_t id = 0;
     CircuitList circuits{};
 };
-struct ResetDone {  // release complete to RSC, or circuit group reset acknowledgement (GRA)
+// Release complete in response to RSC, or circuit group reset acknowledgement (GRA).
+struct ResetDone {
     std::uint32_t id = 0;
     CircuitList circuits{};
 };
-struct Block {  // (un)blocking and its acknowledgement: BLO, UBL, CGB, CGU and BLA, UBA, CGBA, CGUA
-    bool done = false;
+// Blocking and unblocking (BLO, UBL, CGB, CGU), and their acknowledgements (BLA, UBA, CGBA, CGUA).
+struct Block {
+    bool is_acknowledgement = false;
     Blocking blocking = Blocking::none;  // none: unblock
     CircuitList circuits{};
 };
-struct Query {  // circuit group query (CQM)
+// Circuit group query (CQM) about `count` circuits.
+struct Query {
     std::uint32_t id = 0;
     CircuitNumber first = 1;
     int count = 0;
 };
-struct QueryResponse {  // circuit group query response (CQR)
+// Circuit group query response (CQR).
+struct QueryResponse {
     std::uint32_t id = 0;
     CircuitNumber first = 1;
-    std::vector<CallRef> calls{};  // by circuit, from the first on; kNoCall: idle; or kTransient
+    std::vector<CallRef> calls{};  // one per circuit, from `first` on; kNoCall: idle; or kTransient
 };
-struct Claim {  // a call that stands, as one end has it
+// A standing call as one end knows it.
+struct Claim {
     CallRef call = kNoCall;
     CircuitList circuits{};
     bool operator==(const Claim&) const = default;
 };
-struct Claims {  // the first message of a link that starts anew: all that the sender has
+// The first message after a link has restarted: all standing calls and blocked circuits of the sender.
+struct Claims {
     std::vector<Claim> calls{};
-    std::vector<std::pair<CircuitNumber, Blocking>> blocked{};  // by the sender
+    std::vector<std::pair<CircuitNumber, Blocking>> blocked{};  // circuits that the sender has blocked
 };
 
 using Message = std::variant<Seize, Accept, Reject, Answer, Release, ReleaseComplete, Reset, ResetDone, Block,
                              Query, QueryResponse, Claims>;
+// The message's name in lower case, such as "release complete"; for logs and reports.
 std::string_view name_of(const Message& message);
 
-// ---- Of the link itself ------------------------------------------------------------------------------
+// ---- Frames of the link -------------------------------------------------------------------------------
 
 constexpr std::uint16_t kProtocolVersion = 1;
 
+// The first frame of each connection: what both ends must agree on, and where the link can be resumed.
 struct Hello {
     std::uint16_t version = kProtocolVersion;
     PointCode point = 0, far_point = 0;
     std::uint32_t group = 0;
     int circuits = 0;
     std::uint32_t incarnation = 0;      // of the sender
-    std::uint32_t far_incarnation = 0;  // of the far end, as the sender last knew it; nought: not at all
-    std::uint32_t received = 0;         // last number received in that life
+    std::uint32_t far_incarnation = 0;  // of the far end, as the sender last knew it; zero: unknown
+    std::uint32_t received = 0;         // sequence number last received in that incarnation of the far end
 };
+// A message with its sequence number, which lets the link resend it after a break.
 struct NumberedMessage {
     std::uint32_t sequence = 0;  // from 1 on
-    std::uint32_t received = 0;  // the far end's last, in order
+    std::uint32_t received = 0;  // the sequence number last received from the far end, in order
     Message message{};
 };
+// Shows that the sender is alive and confirms what it has received.
 struct Heartbeat {
     std::uint32_t received = 0;
 };
-struct Bye {  // why the sender closes
+// Sent before the sender closes the connection.
+struct Bye {
     std::string reason{};
 };
 using Frame = std::variant<Hello, NumberedMessage, Heartbeat, Bye>;
 
-constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // bytes, without its length
+constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // without the length field
 constexpr std::size_t kFrameLengthBytes = 4;
-constexpr std::size_t kMaxDescriptionBytes =
-    32 * 1024;  // of a description; class and number are shorter by far
-constexpr std::size_t kMaxTextBytes = 255;
+constexpr std::size_t kMaxDescriptionBytes = 32 * 1024;
+constexpr std::size_t kMaxTextBytes = 255;  // of all other texts: call id, class, number, reason
 
-std::string encode(const Frame& frame);  // with its length
+// The frame's bytes, including the length field.
+std::string encode(const Frame& frame);
 
-// The frame in `bytes`, which are without the length. Nothing: malformed. What it yields fills the bytes
-// exactly and keeps to the bounds of terms.hpp; lists of circuits rise and name none twice.
+// Decodes the bytes of one frame, without the length field; std::nullopt if they are malformed. A decoded
+// frame has used all bytes and keeps to the limits of terms.hpp; its lists of circuits are strictly
+// ascending.
 std::optional<Frame> decode(std::string_view bytes);
 
-// Cuts the bytes of one connection into frames.
+// Splits the bytes of one connection into frames.
 class FrameReader {
    public:
+    // Adds bytes that were read from the connection.
     void append(std::string_view bytes) { bytes_.append(bytes); }
     enum class Status { complete, incomplete, malformed };
+    // Extracts the next frame. `frame` is set only with Status::complete; after `malformed` the connection is
+    // of no use.
     Status next(Frame& frame);
 
    private:
     std::string bytes_;
-    std::size_t begin_ = 0;
+    std::size_t begin_ = 0;  // of the bytes that are not decoded yet
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/operator_commands.cpp
+++ b/src/trunk/operator_commands.cpp
@@ -9,7 +9,7 @@
 
 using protocol::OperatorReply;
 
-// The value of `name` in a query such as `circuits=1-4&kind=hard`; nothing: it is not there.
+// The value of `name` in a query such as `circuits=1-4&kind=hard`; std::nullopt if it is missing.
 std::optional<std::string_view> parameter(std::string_view query, std::string_view name) {
     while (!query.empty()) {
         const std::string_view pair = query.substr(0, query.find('&'));
@@ -20,11 +20,12 @@
     return std::nullopt;
 }
 
+// The number that makes up the whole text; std::nullopt if it is not one.
 template <class T>
 std::optional<T> to_number(std::string_view text) {
     T value{};
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (text.empty() || wrong != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
     return value;
 }
 
@@ -32,7 +33,7 @@
     return blocking == Blocking::hard ? "hard" : blocking == Blocking::soft ? "soft" : "no";
 }
 
-std::string in_hex(CallRef ref) {
+std::string to_hex(CallRef ref) {
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(ref));
     return digits;
@@ -63,28 +64,28 @@
     constexpr std::string_view kRoot = "/circuits";
     if (!path.starts_with(kRoot)) return std::nullopt;
     path.remove_prefix(kRoot.size());
-    const bool reads = method == "GET";
-    if (path.empty()) return reads ? OperatorReply{200, list()} : OperatorReply{405, "GET"};
+    const bool is_get = method == "GET";
+    if (path.empty()) return is_get ? OperatorReply{200, list_groups()} : OperatorReply{405, "GET"};
     if (path.front() != '/') return std::nullopt;
     path.remove_prefix(1);
     const std::string_view group = path.substr(0, path.find('/'));
     path.remove_prefix(std::min(path.size(), group.size() + 1));
     const auto id = to_number<std::uint32_t>(group);
-    TrunkManager::Trunk* const trunk = id ? front_.find(*id) : nullptr;
+    TrunkManager::Trunk* const trunk = id ? manager_.find(*id) : nullptr;
     if (!trunk) return OperatorReply{404, "there is no group " + std::string(group) + "\n"};
     if (path.empty()) {
-        if (!reads) return OperatorReply{405, "GET"};
-        return OperatorReply{200, list(*trunk, parameter(query, "all").value_or("0") == "1")};
+        if (!is_get) return OperatorReply{405, "GET"};
+        return OperatorReply{200, list_circuits(*trunk, parameter(query, "all").value_or("0") == "1")};
     }
-    const std::string_view orders[] = {"block", "unblock", "reset", "audit"};
-    if (std::find(std::begin(orders), std::end(orders), path) == std::end(orders)) return std::nullopt;
+    const std::string_view commands[] = {"block", "unblock", "reset", "audit"};
+    if (std::find(std::begin(commands), std::end(commands), path) == std::end(commands)) return std::nullopt;
     if (method != "POST") return OperatorReply{405, "POST"};
-    return order(*trunk, path, query);
+    return run_command(*trunk, path, query);
 }
 
-OperatorReply OperatorCommands::order(TrunkManager::Trunk& trunk, std::string_view what,
-                                      std::string_view query) {
-    if (what == "audit") {
+OperatorReply OperatorCommands::run_command(TrunkManager::Trunk& trunk, std::string_view command,
+                                            std::string_view query) {
+    if (command == "audit") {
         if (!trunk.group().rules().audit.enabled) return {409, "audits of this group are off\n"};
         trunk.audit();
         return {200, trunk.group().in_service() ? "the audit is under way\n"
@@ -96,14 +97,14 @@
         return {400, "'circuits' must be all, or numbers and ranges from 1 to " +
                          std::to_string(trunk.group().circuits().size()) + " such as 1-4,7\n"};
     }
-    if (what == "reset") {
+    if (command == "reset") {
         if (!trunk.group().in_service()) return {409, "the link of this group is down\n"};
         trunk.reset(*circuits);
         return {200, "reset under way\n"};
     }
     const std::string_view kind = parameter(query, "kind").value_or("soft");
     if (kind != "soft" && kind != "hard") return {400, "'kind' must be soft or hard\n"};
-    if (what == "unblock") {
+    if (command == "unblock") {
         trunk.block(*circuits, Blocking::none);
         return {200, "unblocked\n"};
     }
@@ -111,10 +112,10 @@
     return {200, "blocked\n"};
 }
 
-std::string OperatorCommands::list() const {
+std::string OperatorCommands::list_groups() const {
     std::string text =
         "group exchange far-point link circuits free busy blocked-here blocked-there suspect\n";
-    for (const TrunkManager::Trunk* trunk : front_.trunks()) {
+    for (const TrunkManager::Trunk* trunk : manager_.trunks()) {
         const Group& g = trunk->group();
         int here = 0, there = 0;
         for (CircuitNumber n = 1; n <= g.circuits().size(); ++n) {
@@ -133,7 +134,7 @@
     return text;
 }
 
-std::string OperatorCommands::list(const TrunkManager::Trunk& trunk, bool all) const {
+std::string OperatorCommands::list_circuits(const TrunkManager::Trunk& trunk, bool all) const {
     const Group& g = trunk.group();
     std::string text = "circuit state seconds direction call reference blocked-here blocked-there control\n";
     for (CircuitNumber n = 1; n <= g.circuits().size(); ++n) {
@@ -141,11 +142,11 @@
         if (!all && c.is_free()) continue;
         const Leg* leg = g.leg(c.call);
         const auto age =
-            leg ? std::chrono::duration_cast<std::chrono::seconds>(time_() - leg->since).count() : 0;
+            leg ? std::chrono::duration_cast<std::chrono::seconds>(now_() - leg->since).count() : 0;
         text += std::to_string(n) + ' ' + std::string(trunk::name_of(c.state)) + ' ' +
                 (leg ? std::to_string(age) + (leg->outgoing ? " out " : " in ") + leg->call
                      : std::string("- - -")) +
-                ' ' + (c.call == kNoCall ? std::string("-") : in_hex(c.call)) + ' ' +
+                ' ' + (c.call == kNoCall ? std::string("-") : to_hex(c.call)) + ' ' +
                 name_of(c.blocked_here) + ' ' + name_of(c.blocked_there) +
                 (controls(g.rules().point_codes, n) ? " own\n" : " far\n");
     }
@@ -154,10 +155,10 @@
 
 std::string OperatorCommands::metrics() const {
     std::string text;
-    for (const TrunkManager::Trunk* trunk : front_.trunks()) {
-        const std::string of = "app.trunk." + std::to_string(trunk->settings().id) + '.';
+    for (const TrunkManager::Trunk* trunk : manager_.trunks()) {
+        const std::string prefix = "app.trunk." + std::to_string(trunk->settings().id) + '.';
         const auto line = [&](const char* name, std::uint64_t value, char kind) {
-            text += of + name + ':' + std::to_string(value) + '|' + kind + '\n';
+            text += prefix + name + ':' + std::to_string(value) + '|' + kind + '\n';
         };
         const Group& g = trunk->group();
         const GroupCounts& c = g.counts();
@@ -171,7 +172,7 @@
         line("glares", c.glares, 'c'), line("glares_lost", c.glares_lost, 'c');
         line("no_circuit", c.no_circuit, 'c'), line("resets", c.resets, 'c'),
             line("guards", c.release_timeouts, 'c');
-        line("audits", g.audits().asked(), 'c'), line("audit_freed", c.audit_freed, 'c');
+        line("audits", g.audits().queries(), 'c'), line("audit_freed", c.audit_freed, 'c');
         line("recovered", c.recovered, 'c'), line("not_recovered", c.not_recovered, 'c');
         line("contradictions", c.contradictions, 'c');
         const LinkCounts& l = trunk->session().counts();
--- a/src/trunk/operator_commands.hpp
+++ b/src/trunk/operator_commands.hpp
@@ -1,7 +1,9 @@
-// What operators see of circuit groups and order: paths and parameters in, lines of text out. No I/O.
+// Operators' view of the circuit groups and their commands on circuits: HTTP paths and parameters in, lines
+// of text out. No I/O.
 //
-//     GET  /circuits                      a line for each group
-//     GET  /circuits/GROUP                a line for each circuit that is not idle and free; ?all=1: for each
+//     GET  /circuits                      one line per group
+//     GET  /circuits/GROUP                one line per circuit that is not both idle and unblocked;
+//                                         ?all=1: one per circuit
 //     POST /circuits/GROUP/block          ?circuits=1-4,7 &kind=soft (default) or hard
 //     POST /circuits/GROUP/unblock        ?circuits=...
 //     POST /circuits/GROUP/reset          ?circuits=...: calls on them are cut
@@ -17,27 +19,29 @@
 
 namespace nettlestall::trunk {
 
-// `all`, or numbers and ranges from 1 to `circuits` such as `1-4,7`. Nothing: it is not of that form.
+// Parses `all`, or numbers and ranges from 1 to `circuits` such as `1-4,7`, into an ascending list.
+// std::nullopt if the text is not of that form.
 std::optional<CircuitList> parse_circuits(std::string_view text, int circuits);
 
 class OperatorCommands {
    public:
     using Clock = TrunkManager::Clock;
-    OperatorCommands(TrunkManager& front, Clock time) : front_(front), time_(std::move(time)) {}
+    OperatorCommands(TrunkManager& manager, Clock now) : manager_(manager), now_(std::move(now)) {}
 
-    // Nothing: no such path.
+    // Handles a request to one of the paths above; std::nullopt if the path is none of them.
     std::optional<protocol::OperatorReply> handle(std::string_view method, std::string_view path,
                                                   std::string_view query);
-    // Lines for /metrics: name:value|kind.
+    // The metrics of all groups, as lines of name:value|kind for /metrics.
     std::string metrics() const;
 
    private:
-    std::string list() const;
-    std::string list(const TrunkManager::Trunk& trunk, bool all) const;
-    protocol::OperatorReply order(TrunkManager::Trunk& trunk, std::string_view what, std::string_view query);
+    std::string list_groups() const;
+    std::string list_circuits(const TrunkManager::Trunk& trunk, bool all) const;
+    protocol::OperatorReply run_command(TrunkManager::Trunk& trunk, std::string_view command,
+                                        std::string_view query);
 
-    TrunkManager& front_;
-    Clock time_;
+    TrunkManager& manager_;
+    Clock now_;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/selection.cpp
+++ b/src/trunk/selection.cpp
@@ -8,8 +8,8 @@
 namespace nettlestall::trunk {
 
 CircuitList hunt(const Circuits& circuits, const PointCodes& point_codes, int width, Hunting hunting,
-                 const CircuitList& lately) {
-    // What is left to the last comes last; then by the method; the number settles what is equal.
+                 const CircuitList& avoid) {
+    // Circuits to avoid come last, then the order is by hunting method; the circuit number breaks ties.
     using Rank = std::tuple<bool, bool, std::uint64_t, CircuitNumber>;
     std::vector<Rank> ranked;
     for (CircuitNumber n = 1; n <= circuits.size(); ++n) {
@@ -19,9 +19,9 @@
             ranked.emplace_back(false, false, 0, n);
             continue;
         }
-        const bool lost = std::find(lately.begin(), lately.end(), n) != lately.end();
-        const bool own = controls(point_codes, n);
-        ranked.emplace_back(lost, !own, own ? c.idle_since : ~c.idle_since, n);
+        const bool is_avoided = std::find(avoid.begin(), avoid.end(), n) != avoid.end();
+        const bool is_own = controls(point_codes, n);
+        ranked.emplace_back(is_avoided, !is_own, is_own ? c.idle_order : ~c.idle_order, n);
     }
     if (width < 1 || ranked.size() < static_cast<std::size_t>(width)) return {};
     std::partial_sort(ranked.begin(), ranked.begin() + width, ranked.end());
--- a/src/trunk/selection.hpp
+++ b/src/trunk/selection.hpp
@@ -1,4 +1,4 @@
-// Which circuits a set-up seizes. No I/O and no clock.
+// Selects the circuits that a set-up seizes. No I/O and no clock.
 #pragma once
 
 #include "trunk/circuits.hpp"
@@ -7,14 +7,15 @@
 namespace nettlestall::trunk {
 
 enum class Hunting : std::uint8_t {
-    own_half,   // Q.764, 2.9.1.3, method 2: of the controlled ones that longest idle, then of the others that
-                // latest idle
-    ascending,  // from the lowest on, at both ends: the baseline that measurements compare with
+    own_half,   // Q.764, 2.9.1.3, method 2: first the circuits that this end controls, of these the one
+                // longest idle; then the others, of these the one most recently idle
+    ascending,  // from the lowest number on, at both ends; the baseline for experiments
 };
 
-// `width` free circuits, rising; empty: there are not as many, and none is to be seized. `lately` is skipped
-// while others are free: circuits on which this end has just lost a glare, where the far end is at work.
+// `width` free circuits in ascending order. Empty if fewer are free; then none may be seized. Circuits in
+// `avoid` are used only if there are not enough others: on these this end has just lost a glare, or the far
+// end has rejected it.
 CircuitList hunt(const Circuits& circuits, const PointCodes& point_codes, int width, Hunting hunting,
-                 const CircuitList& lately = {});
+                 const CircuitList& avoid = {});
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/session.cpp
+++ b/src/trunk/session.cpp
@@ -29,18 +29,18 @@
 void Session::begin_new_incarnation() {
     ++incarnation_;
     far_incarnation_ = 0;
-    start_anew();
+    reset_numbering();
 }
 
-void Session::start_anew() {
+void Session::reset_numbering() {
     unconfirmed_.clear();
-    unconfirmed_size_ = 0;
+    unconfirmed_bytes_ = 0;
     confirmed_ = received_ = 0;
 }
 
-bool Session::refuse(std::string why, bool tell) {
+bool Session::fail(std::string why, bool notify_far_end) {
     close_reason_ = std::move(why);
-    if (tell) output_ += encode(Bye{close_reason_.substr(0, kMaxTextBytes)});
+    if (notify_far_end) output_ += encode(Bye{close_reason_.substr(0, kMaxTextBytes)});
     return false;
 }
 
@@ -52,23 +52,23 @@
                 return true;
             case FrameReader::Status::malformed:
                 ++counts_.malformed;
-                return refuse("malformed bytes", true);
+                return fail("malformed bytes", true);
             case FrameReader::Status::complete:
                 break;
         }
         if (const auto* bye = std::get_if<Bye>(&frame))
-            return refuse("the far end says: " + bye->reason, false);
+            return fail("closed by the far end: " + bye->reason, false);
         if (const auto* hello = std::get_if<Hello>(&frame)) {
-            if (up_ || !connected_) return ++counts_.malformed, refuse("a second hello", true);
-            if (!greet(*hello)) return false;
+            if (up_ || !connected_) return ++counts_.malformed, fail("a second hello", true);
+            if (!handle_hello(*hello)) return false;
             continue;
         }
-        if (!up_) return ++counts_.malformed, refuse("a message before the hello", true);
-        const bool sound = std::holds_alternative<Heartbeat>(frame)
-                               ? confirm(std::get<Heartbeat>(frame).received)
-                               : take(std::get<NumberedMessage>(frame));
-        if (!sound) return false;
-        if (!connected_) return true;  // what it brought about has closed the connection
+        if (!up_) return ++counts_.malformed, fail("a message before the hello", true);
+        const bool accepted = std::holds_alternative<Heartbeat>(frame)
+                                  ? handle_confirmation(std::get<Heartbeat>(frame).received)
+                                  : handle_message(std::get<NumberedMessage>(frame));
+        if (!accepted) return false;
+        if (!connected_) return true;  // handling the message has closed the connection
     }
 }
 
@@ -87,60 +87,60 @@
     return {};
 }
 
-// Each end sees both hellos, so both come to the same answer. Guards against messages of another life: a
-// release of a call before a restart must not meet the call that has its circuits now.
-bool Session::greet(const Hello& hello) {
-    if (std::string wrong = find_mismatch(hello); !wrong.empty()) {
+// Each end sees both hellos, so both come to the same decision. Resuming requires that each end knows the
+// other's current incarnation: a message sent before a restart, such as a release, must not affect the call
+// that has its circuits now.
+bool Session::handle_hello(const Hello& hello) {
+    if (std::string mismatch = find_mismatch(hello); !mismatch.empty()) {
         ++counts_.mismatched;
-        return refuse(std::move(wrong), true);
+        return fail(std::move(mismatch), true);
     }
     const bool resumed = far_incarnation_ != 0 && hello.incarnation == far_incarnation_ &&
                          hello.far_incarnation == incarnation_;
-    if (resumed && !confirm(hello.received)) {
-        begin_new_incarnation();  // counts that don't fit: nothing that was sent can be relied on
+    if (resumed && !handle_confirmation(hello.received)) {
+        begin_new_incarnation();  // the numbers contradict each other: nothing that was sent can be relied on
         return false;
     }
-    if (!resumed) start_anew();
+    if (!resumed) reset_numbering();
     far_incarnation_ = hello.incarnation;
     up_ = true;
     ++(resumed ? counts_.resumed : counts_.restarted);
     std::uint32_t sequence = confirmed_;
-    for (const Unconfirmed& u : unconfirmed_) {
-        ++counts_.sent_again;
-        write_numbered(u.message, ++sequence);
+    for (const Unconfirmed& unconfirmed : unconfirmed_) {
+        ++counts_.resent;
+        write_numbered(unconfirmed.message, ++sequence);
     }
     events_.link_up(resumed);
     return true;
 }
 
-bool Session::confirm(std::uint32_t received) {
+bool Session::handle_confirmation(std::uint32_t received) {
     if (received < confirmed_ || received - confirmed_ > unconfirmed_.size()) {
         ++counts_.malformed;
-        return refuse("a message confirmed that was not sent", true);
+        return fail("confirmation of a message that was not sent", true);
     }
     for (; confirmed_ < received; ++confirmed_) {
-        unconfirmed_size_ -= unconfirmed_.front().size;
+        unconfirmed_bytes_ -= unconfirmed_.front().size;
         unconfirmed_.pop_front();
     }
     return true;
 }
 
-bool Session::take(const NumberedMessage& numbered) {
-    if (!confirm(numbered.received)) return false;
+bool Session::handle_message(const NumberedMessage& numbered) {
+    if (!handle_confirmation(numbered.received)) return false;
     if (numbered.sequence <= received_) {
         ++counts_.repeated;
         return true;
     }
-    // A gap: what is missing comes again on the next connection, in order.
-    if (numbered.sequence != received_ + 1)
-        return ++counts_.malformed, refuse("a message out of order", true);
-    ++received_;  // replies confirm it
+    // A gap. The far end resends what is missing on the next connection, in order.
+    if (numbered.sequence != received_ + 1) return ++counts_.malformed, fail("a message out of order", true);
+    ++received_;  // before the event, so that replies confirm it
     ++counts_.received;
-    if (const char* wrong = events_.received(numbered.message)) {
+    if (const char* error = events_.received(numbered.message)) {
         ++counts_.malformed;
-        // It would come again for ever: whatever this end and the far end make of the link, they start anew.
+        // The far end would resend the message on each connection, so the link has to restart.
         begin_new_incarnation();
-        return refuse(std::string(wrong), true);
+        return fail(std::string(error), true);
     }
     return true;
 }
@@ -161,10 +161,10 @@
     }
     ++counts_.sent;
     unconfirmed_.push_back({message, size});
-    unconfirmed_size_ += size;
-    // Guards the memory against a far end that confirms nothing.
-    if (unconfirmed_size_ > kMaxUnconfirmedBytes) {
-        close_reason_ = "too much that the far end has not confirmed";
+    unconfirmed_bytes_ += size;
+    // Keeps a far end that confirms nothing from filling the memory.
+    if (unconfirmed_bytes_ > kMaxUnconfirmedBytes) {
+        close_reason_ = "too many bytes that the far end has not confirmed";
         begin_new_incarnation();
         disconnected();
     }
--- a/src/trunk/session.hpp
+++ b/src/trunk/session.hpp
@@ -1,6 +1,7 @@
-// One end of a group's link over many connections: greets, numbers its messages, acknowledges, sends again
-// what a broken connection lost, and starts anew where that is impossible. Fed bytes, knows no socket and no
-// clock; whoever drives it tells it of connections and calls send_heartbeat() every second.
+// One end of a group's link, which outlives its connections. It exchanges hellos, numbers its messages,
+// confirms what it receives, resends what a broken connection has lost, and restarts the link where that is
+// impossible. Bytes go in and out; no socket and no clock. Its driver reports connections and calls
+// send_heartbeat() every second.
 #pragma once
 
 #include <deque>
@@ -12,6 +13,7 @@
 
 namespace nettlestall::trunk {
 
+// What both ends of a link must agree on.
 struct LinkIdentity {
     PointCodes point_codes{};
     std::uint32_t group = 0;
@@ -20,10 +22,10 @@
 
 class LinkEvents {
    public:
-    // `resumed`: no message of either end is lost. Else the far end, or this one, has forgotten the link, and
-    // nothing sent before counts.
+    // The hellos have been exchanged. `resumed`: no message of either end is lost. Otherwise one of the ends
+    // has forgotten the link, and nothing that was sent before counts.
     virtual void link_up(bool resumed) = 0;
-    // Null: taken. Else what is wrong with it: the connection is to be closed.
+    // Null if the message was accepted, else what is wrong with it; the connection is closed then.
     virtual const char* received(const Message& message) = 0;
 
    protected:
@@ -31,49 +33,57 @@
 };
 
 struct LinkCounts {
-    std::uint64_t sent = 0, received = 0, repeated = 0, sent_again = 0, resumed = 0, restarted = 0,
-                  malformed = 0, mismatched = 0;
+    std::uint64_t sent = 0, received = 0, repeated = 0, resent = 0, resumed = 0, restarted = 0, malformed = 0,
+                  mismatched = 0;
 };
 
 class Session {
    public:
-    // Bytes of messages that the far end has not confirmed; beyond it the link starts anew.
+    // Messages that the far end has not confirmed. Beyond this the link restarts, so that a far end that
+    // never confirms does not fill the memory.
     static constexpr std::size_t kMaxUnconfirmedBytes = 4 * 1024 * 1024;
 
     Session(const LinkIdentity& identity, std::uint32_t incarnation, LinkEvents& events);
 
-    void set_incarnation(std::uint32_t incarnation) {
-        incarnation_ = incarnation;
-    }                     // another one, before the first connection
-    void connected();     // a connection is there: our hello goes out
-    void disconnected();  // the connection has gone, or is about to be closed
-    // What was read. False: the connection is to be closed, once what is in output() has been written.
+    // Only before the first connection.
+    void set_incarnation(std::uint32_t incarnation) { incarnation_ = incarnation; }
+    // A connection is open: this end's hello is put out.
+    void connected();
+    // The connection is gone or is about to be closed.
+    void disconnected();
+    // Processes bytes that were read. False: the connection is to be closed once the output has been written.
     bool receive_bytes(std::string_view bytes);
-    void send(const Message& message);  // now, or on the next connection
-    void send_heartbeat();              // confirms, so that the far end may forget, and shows that we live
-    void begin_new_incarnation();       // the next connection starts anew
+    // Sends now, or on the next connection.
+    void send(const Message& message);
+    // Shows that this end is alive, and confirms what it has received so that the far end need not keep it.
+    void send_heartbeat();
+    // Makes the next connection restart the link.
+    void begin_new_incarnation();
 
-    // How a far end's hello differs from what is agreed; empty: it does not.
+    // How a far end's hello differs from what both ends must agree on; empty if it does not.
     std::string find_mismatch(const Hello& hello) const;
 
     bool is_connected() const { return connected_; }
+    // Connected, and the hellos have been exchanged.
     bool is_up() const { return up_; }
     std::string take_output() { return std::exchange(output_, {}); }
     bool has_output() const { return !output_.empty(); }
     const LinkCounts& counts() const { return counts_; }
-    const std::string& close_reason() const { return close_reason_; }  // why a connection was closed last
+    // Why a connection was last closed by this class or by the far end's closing message.
+    const std::string& close_reason() const { return close_reason_; }
     std::uint32_t incarnation() const { return incarnation_; }
 
    private:
-    bool greet(const Hello& hello);
-    bool confirm(std::uint32_t received);
-    bool take(const NumberedMessage& numbered);
-    bool refuse(std::string why, bool tell);
+    // Each of these returns false if the connection is to be closed.
+    bool handle_hello(const Hello& hello);
+    bool handle_confirmation(std::uint32_t received);
+    bool handle_message(const NumberedMessage& numbered);
+    bool fail(std::string why, bool notify_far_end);  // always false
     void write_numbered(const Message& message, std::uint32_t sequence);
-    void start_anew();
+    void reset_numbering();
 
     LinkIdentity identity_;
-    std::uint32_t incarnation_, far_incarnation_ = 0;
+    std::uint32_t incarnation_, far_incarnation_ = 0;  // far: zero if unknown
     LinkEvents& events_;
     FrameReader reader_;
     std::string output_, close_reason_;
@@ -81,12 +91,13 @@
     bool connected_ = false, up_ = false;
     struct Unconfirmed {
         Message message;
-        std::size_t size;
+        std::size_t size;  // bytes
     };
     std::deque<Unconfirmed> unconfirmed_;
-    std::size_t unconfirmed_size_ = 0;
-    std::uint32_t confirmed_ = 0;  // of ours, by the far end; then unconfirmed_ follows
-    std::uint32_t received_ = 0;   // of theirs, in order
+    std::size_t unconfirmed_bytes_ = 0;
+    std::uint32_t confirmed_ =
+        0;  // last own sequence number confirmed by the far end; unconfirmed_ follows it
+    std::uint32_t received_ = 0;  // last sequence number received from the far end, in order
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -1,4 +1,5 @@
-// Terms of the trunk signalling between two hubs, after ITU-T Q.763 and Q.764. The coding is our own.
+// Terms of the trunk signalling between two hubs, after ITU-T Q.763 and Q.764. The coding is this project's
+// own.
 #pragma once
 
 #include <cstdint>
@@ -9,51 +10,53 @@
 
 namespace nettlestall::trunk {
 
-using PointCode = int;      // of a hub, 1 to 16383 (14 bits, as in Q.704)
-using CircuitNumber = int;  // within its group, from 1 on
+using PointCode = int;      // identifies a hub: 1 to 16383 (14 bits, as in Q.704)
+using CircuitNumber = int;  // position within the circuit group, from 1 on
 using CircuitList = std::vector<CircuitNumber>;
 
 constexpr PointCode kMaxPointCode = 16383;
-constexpr int kMaxCircuitsPerGroup = 2048;  // of one group: a claim of all of them is one message
-constexpr int kMaxCircuitsPerCall = 64;     // circuits of one call
+constexpr int kMaxCircuitsPerGroup = 2048;  // keeps the claims of all circuits within one message
+constexpr int kMaxCircuitsPerCall = 64;
 
-// One call on a group, named by the end that seized. Both ends and both lives of a restarted end make
-// different ones: the top bit tells the end with the higher point code, 31 bits its life, 32 count.
+// Reference of one call on a group, assigned by the end that seized the circuits. The top bit is set by the
+// end with the higher point code, 31 bits hold that end's incarnation and 32 bits a counter, so neither the
+// two ends nor two incarnations of a restarted end ever assign the same reference.
 using CallRef = std::uint64_t;
 constexpr CallRef kNoCall = 0;
-constexpr CallRef kTransient =
-    ~CallRef{0};  // in a query response: the circuit awaits a word of the other end
+// In a query response, in place of a reference: the circuit waits for a message from the other end.
+constexpr CallRef kTransient = ~CallRef{0};
 
-// Of one end of a group.
+// The point codes of a group, as one of its ends sees them.
 struct PointCodes {
     PointCode own = 1, far = 2;
     bool own_is_higher() const { return own > far; }
 };
 
-// Why a seizure, or a call, comes to nothing or to its end.
+// Why a seizure failed or a call ended.
 enum class Reason : std::uint8_t {
-    normal = 0,     // the call has come to its end, or was given up
-    glare = 1,      // it lost a dual seizure (Q.764, 2.9.1): it never ran
-    not_idle = 2,   // a circuit of it is not idle at the far end: it never ran
-    unusable = 3,   // a circuit of it is blocked or does not exist there: it never ran
-    refused = 4,    // by the far end's decision module: trying again is harmless
-    failed = 5,     // by the far end
-    cut = 6,        // the call stood and was cut
-    link_lost = 7,  // nobody knows what became of it
+    normal = 0,     // the call ended normally, or its set-up was cancelled
+    glare = 1,      // the seizure lost a dual seizure (Q.764, 2.9.1); the call never reached the far hub
+    not_idle = 2,   // a circuit of it is not idle at the far end; the call never reached the far hub
+    unusable = 3,   // a circuit of it is blocked or does not exist there; the call never reached the far hub
+    refused = 4,    // by the far end's decision module; the set-up may safely be tried again
+    failed = 5,     // at the far end
+    cut = 6,        // the call had been answered and was cut off
+    link_lost = 7,  // the link was lost; the outcome at the far end is unknown
     reset = 8,      // the circuit was reset (Q.764, 2.9.3)
 };
 constexpr int kReasonCount = 9;
 
-// What a set-up carries from hub to hub; the values are passed on as they came.
+// What a set-up carries from hub to hub. The values are passed on unchanged.
 struct CallData {
     CallId call{};  // 16 hex digits, the same at both ends
     std::string service_class{}, number{}, description{};
     int destination = kNowhere;
-    int via = kNowhere;  // number of the hub that sends it
-    Duration wait{};     // until the sender gives it up
-    bool again = false, redial = false;
+    int via = kNowhere;     // exchange number of the hub that sends it
+    Duration time_limit{};  // until the sender cancels the set-up
+    bool was_cut = false, redial = false;
 };
 
-enum class Blocking : std::uint8_t { none = 0, soft = 1, hard = 2 };  // hard: calls on it are cut
+// Whether a circuit is blocked for new calls. Hard blocking also cuts the call that is on the circuit.
+enum class Blocking : std::uint8_t { none = 0, soft = 1, hard = 2 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -6,16 +6,18 @@
 namespace nettlestall::trunk {
 namespace {
 
-constexpr Duration kShortestWait = std::chrono::milliseconds(1);
+// Lower limit of the time left that the call table is given for a set-up, whatever the far end sends.
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(1);
 
-// What an end of a set-up of ours means to the call table.
-std::pair<Outcome, Cause> meaning(Reason reason, bool was_answered, bool direct) {
+// The outcome that the call table is given when a call of this hub ends on the group. `direct`: a refusal is
+// by the call's destination, not by a tandem.
+std::pair<Outcome, Cause> outcome_of(Reason reason, bool was_answered, bool direct) {
     if (was_answered) return {reason == Reason::normal ? Outcome::ended : Outcome::reset, Cause::none};
     switch (reason) {
         case Reason::glare:
         case Reason::not_idle:
         case Reason::unusable:
-            return {Outcome::turned_back, Cause::no_circuit};  // it never ran
+            return {Outcome::turned_back, Cause::no_circuit};  // the set-up never reached the far hub
         case Reason::refused:
             return {Outcome::turned_back, direct ? Cause::processor_full : Cause::by_tandem};
         case Reason::normal:
@@ -29,8 +31,8 @@
     return {Outcome::reset, Cause::none};
 }
 
-Reason reason_of(ReleaseReason ending) {
-    switch (ending) {
+Reason to_reason(ReleaseReason reason) {
+    switch (reason) {
         case ReleaseReason::refused:
             return Reason::refused;
         case ReleaseReason::failed:
@@ -47,16 +49,16 @@
 
 // ---- One group ---------------------------------------------------------------------------------------
 
-TrunkManager::Trunk::Trunk(TrunkManager& front, const GroupSettings& settings)
-    : front_(front),
+TrunkManager::Trunk::Trunk(TrunkManager& manager, const GroupSettings& settings)
+    : manager_(manager),
       settings_(settings),
       origin_("trunk:" + std::to_string(settings.id)),
       group_(settings.rules, 0),
       session_({settings.rules.point_codes, settings.id, settings.rules.circuits}, 0, *this) {}
 
 CallRef TrunkManager::Trunk::ref_of(const CallId& call) const {
-    for (const auto* of : {&outgoing_, &incoming_})
-        if (const auto at = of->find(call); at != of->end()) return at->second;
+    for (const auto* calls : {&outgoing_, &incoming_})
+        if (const auto at = calls->find(call); at != calls->end()) return at->second;
     return kNoCall;
 }
 
@@ -64,123 +66,124 @@
     for (const Effect& effect : effects) {
         if (const auto* send = std::get_if<Send>(&effect)) {
             session_.send(send->message);
-        } else if (const auto* stands = std::get_if<StoreCall>(&effect)) {
-            if (!front_.ledger_) continue;
-            LedgerCall call{settings_.id, stands->claim, stands->call, stands->outgoing, {}, {}};
-            const ExchangeId* at = front_.table_.exchange_of(stands->call);
-            if (!stands->outgoing && at) call.exchange = *at;
-            if (stands->outgoing) call.origin = front_.table_.origin_of(stands->call);
-            front_.ledger_->store_call(call);
-        } else if (const auto* over = std::get_if<RemoveCall>(&effect)) {
-            if (front_.ledger_) front_.ledger_->remove_call(settings_.id, over->claim);
+        } else if (const auto* store = std::get_if<StoreCall>(&effect)) {
+            if (!manager_.ledger_) continue;
+            LedgerCall call{settings_.id, store->claim, store->call, store->outgoing, {}, {}};
+            const ExchangeId* exchange = manager_.table_.exchange_of(store->call);
+            if (!store->outgoing && exchange) call.exchange = *exchange;
+            if (store->outgoing) call.origin = manager_.table_.origin_of(store->call);
+            manager_.ledger_->store_call(call);
+        } else if (const auto* remove = std::get_if<RemoveCall>(&effect)) {
+            if (manager_.ledger_) manager_.ledger_->remove_call(settings_.id, remove->claim);
         } else if (const auto* blocked = std::get_if<StoreBlocking>(&effect)) {
-            if (front_.ledger_)
-                front_.ledger_->store_blocking(settings_.id, blocked->circuit, blocked->blocking);
+            if (manager_.ledger_)
+                manager_.ledger_->store_blocking(settings_.id, blocked->circuit, blocked->blocking);
         } else if (std::holds_alternative<RestartLink>(effect)) {
             session_.begin_new_incarnation();
         }
     }
     for (const Effect& effect : effects) {
-        if (const auto* offered = std::get_if<Offered>(&effect)) tell(*offered);
-        if (const auto* answered = std::get_if<Answered>(&effect)) tell(*answered);
-        if (const auto* ended = std::get_if<Ended>(&effect)) tell(*ended);
-        if (const auto* freed = std::get_if<FreedByAudit>(&effect); freed && front_.freed_)
-            front_.freed_(*this, *freed);
+        if (const auto* offered = std::get_if<Offered>(&effect)) notify_table(*offered);
+        if (const auto* answered = std::get_if<Answered>(&effect)) notify_table(*answered);
+        if (const auto* ended = std::get_if<Ended>(&effect)) notify_table(*ended);
+        if (const auto* freed = std::get_if<FreedByAudit>(&effect); freed && manager_.freed_)
+            manager_.freed_(*this, *freed);
     }
-    // Too much was unconfirmed: the session has given its connection up.
+    // The session closes its connection itself if too many bytes are unconfirmed.
     if (group_.in_service() && !session_.is_connected()) {
         Effects down;
-        group_.link_down(front_.time_(), down);
+        group_.link_down(manager_.now_(), down);
         return carry_out(std::move(down));
     }
-    report();
-    if (session_.has_output() && front_.output_) front_.output_(*this);
-    if (front_.earlier_) front_.earlier_(group_.next_timer());
+    report_state();
+    if (session_.has_output() && manager_.output_) manager_.output_(*this);
+    if (manager_.schedule_) manager_.schedule_(group_.next_timer());
 }
 
-void TrunkManager::Trunk::report() {
+void TrunkManager::Trunk::report_state() {
     const int free = group_.free_circuits();
-    if (free == told_free_ || (told_free_ < 0 && !group_.in_service())) return;
-    told_free_ = free;
+    if (free == reported_free_ || (reported_free_ < 0 && !group_.in_service())) return;
+    reported_free_ = free;
     LoadReport load;
     load.free_circuits = free;
     load.group_size = group_.circuits().size();
-    front_.switches_.on_group_state(settings_.exchange, load);
+    manager_.switches_.on_group_state(settings_.exchange, load);
 }
 
-void TrunkManager::Trunk::tell(const Offered& effect) {
+void TrunkManager::Trunk::notify_table(const Offered& effect) {
     if (!group_.leg(effect.ref)) return;
     const CallData& data = effect.data;
-    // The far end has begun it again, under another reference: what it began before is over there.
-    if (const auto before = incoming_.find(data.call); before != incoming_.end()) {
-        const CallRef ref = before->second;
-        incoming_.erase(before);
-        front_.callers_.on_release(*this, data.call);
+    // The far end sets the same call up again, under another reference: its earlier set-up is over there.
+    if (const auto earlier = incoming_.find(data.call); earlier != incoming_.end()) {
+        const CallRef ref = earlier->second;
+        incoming_.erase(earlier);
+        manager_.callers_.on_release(*this, data.call);
         Effects effects;
-        group_.release(front_.time_(), ref, Reason::normal, effects);
+        group_.release(manager_.now_(), ref, Reason::normal, effects);
         carry_out(std::move(effects));
     }
-    ++front_.counts_.offered;
+    ++manager_.counts_.offered;
     incoming_[data.call] = effect.ref;
-    SetUpRequest offer;
-    offer.call = data.call;
-    offer.service_class = data.service_class;
-    offer.number = data.number;
-    offer.description = data.description;
-    offer.time_left = std::max(kShortestWait, data.wait);
-    offer.destination = data.destination;
-    offer.width = effect.width;
-    offer.via = data.via;
-    offer.transit = true;
-    offer.was_cut = data.again;
-    offer.redial = data.redial;
-    front_.callers_.on_set_up(*this, offer);
-}
-
-void TrunkManager::Trunk::tell(const Answered& effect) {
+    SetUpRequest request;
+    request.call = data.call;
+    request.service_class = data.service_class;
+    request.number = data.number;
+    request.description = data.description;
+    request.time_left = std::max(kMinTimeLeft, data.time_limit);
+    request.destination = data.destination;
+    request.width = effect.width;
+    request.via = data.via;
+    request.transit = true;
+    request.was_cut = data.was_cut;
+    request.redial = data.redial;
+    manager_.callers_.on_set_up(*this, request);
+}
+
+void TrunkManager::Trunk::notify_table(const Answered& effect) {
     const auto at = outgoing_.find(effect.call);
     if (at == outgoing_.end() || at->second != effect.ref) return;
-    front_.switches_.on_answer(settings_.exchange, effect.call, effect.description);
-}
-
-void TrunkManager::Trunk::tell(const Ended& effect) {
-    auto& of = effect.outgoing ? outgoing_ : incoming_;
-    const auto at = of.find(effect.call);
-    if (at == of.end() || at->second != effect.ref) return;
-    of.erase(at);
-    if (!effect.outgoing) return front_.callers_.on_release(*this, effect.call);
-    if (effect.reason == Reason::glare && front_.glare_lost_) front_.glare_lost_(*this, effect.call);
-    // Of two hubs the far one knows best whether it was the call's destination; here any refusal is its own.
-    const auto [outcome, cause] = meaning(effect.reason, effect.was_answered, true);
-    front_.switches_.on_call_ended(settings_.exchange, effect.call, outcome, cause, {});
-}
-
-void TrunkManager::Trunk::set_up(const OutgoingSetUp& forward) {
-    CallData data{.call = forward.call,
-                  .service_class = forward.service_class,
-                  .number = forward.number,
-                  .description = forward.description ? *forward.description : std::string(),
-                  .destination = forward.destination,
-                  .via = front_.own_number_,
-                  .wait = forward.time_limit,
-                  .again = forward.was_cut,
-                  .redial = forward.redial};
+    manager_.switches_.on_answer(settings_.exchange, effect.call, effect.description);
+}
+
+void TrunkManager::Trunk::notify_table(const Ended& effect) {
+    auto& calls = effect.outgoing ? outgoing_ : incoming_;
+    const auto at = calls.find(effect.call);
+    if (at == calls.end() || at->second != effect.ref) return;
+    calls.erase(at);
+    if (!effect.outgoing) return manager_.callers_.on_release(*this, effect.call);
+    if (effect.reason == Reason::glare && manager_.glare_lost_) manager_.glare_lost_(*this, effect.call);
+    // Any refusal counts as the far hub's own, since only that hub knows whether it was the call's
+    // destination.
+    const auto [outcome, cause] = outcome_of(effect.reason, effect.was_answered, true);
+    manager_.switches_.on_call_ended(settings_.exchange, effect.call, outcome, cause, {});
+}
+
+void TrunkManager::Trunk::set_up(const OutgoingSetUp& request) {
+    CallData data{.call = request.call,
+                  .service_class = request.service_class,
+                  .number = request.number,
+                  .description = request.description ? *request.description : std::string(),
+                  .destination = request.destination,
+                  .via = manager_.own_number_,
+                  .time_limit = request.time_limit,
+                  .was_cut = request.was_cut,
+                  .redial = request.redial};
     Effects effects;
-    const CallRef ref = group_.set_up(front_.time_(), std::move(data), forward.width, effects);
+    const CallRef ref = group_.set_up(manager_.now_(), std::move(data), request.width, effects);
     if (ref == kNoCall)
-        return front_.switches_.on_call_ended(settings_.exchange, forward.call, Outcome::turned_back,
-                                              Cause::no_circuit, {});
-    outgoing_[forward.call] = ref;
+        return manager_.switches_.on_call_ended(settings_.exchange, request.call, Outcome::turned_back,
+                                                Cause::no_circuit, {});
+    outgoing_[request.call] = ref;
     carry_out(std::move(effects));
 }
 
-void TrunkManager::Trunk::let_go(const CallId& call, Reason reason) {
+void TrunkManager::Trunk::release_outgoing(const CallId& call, Reason reason) {
     const auto at = outgoing_.find(call);
     if (at == outgoing_.end()) return;
     const CallRef ref = at->second;
     outgoing_.erase(at);
     Effects effects;
-    group_.release(front_.time_(), ref, reason, effects);
+    group_.release(manager_.now_(), ref, reason, effects);
     carry_out(std::move(effects));
 }
 
@@ -188,155 +191,153 @@
     const auto at = incoming_.find(call);
     if (at == incoming_.end()) return;
     Effects effects;
-    group_.answer(front_.time_(), at->second, *description, effects);
+    group_.answer(manager_.now_(), at->second, *description, effects);
     carry_out(std::move(effects));
 }
 
-void TrunkManager::Trunk::release(const CallId& call, ReleaseReason ending) {
+void TrunkManager::Trunk::release(const CallId& call, ReleaseReason reason) {
     const auto at = incoming_.find(call);
     if (at == incoming_.end()) return;
     const CallRef ref = at->second;
     incoming_.erase(at);
     Effects effects;
-    group_.release(front_.time_(), ref, reason_of(ending), effects);
+    group_.release(manager_.now_(), ref, to_reason(reason), effects);
     carry_out(std::move(effects));
 }
 
-// ---- Its link ----------------------------------------------------------------------------------------
+// ---- The link of a group
+// ----------------------------------------------------------------------------------------
 
 void TrunkManager::Trunk::connected() {
     session_.connected();
-    if (front_.output_) front_.output_(*this);
+    if (manager_.output_) manager_.output_(*this);
 }
 
 bool TrunkManager::Trunk::receive_bytes(std::string_view bytes) {
-    const bool sound = session_.receive_bytes(bytes);
-    if (session_.has_output() && front_.output_) front_.output_(*this);
-    return sound && session_.is_connected();
+    const bool keep_open = session_.receive_bytes(bytes);
+    if (session_.has_output() && manager_.output_) manager_.output_(*this);
+    return keep_open && session_.is_connected();
 }
 
 void TrunkManager::Trunk::disconnected() {
     session_.disconnected();
     Effects effects;
-    group_.link_down(front_.time_(), effects);
+    group_.link_down(manager_.now_(), effects);
     carry_out(std::move(effects));
 }
 
 void TrunkManager::Trunk::send_heartbeat() {
     session_.send_heartbeat();
-    if (session_.has_output() && front_.output_) front_.output_(*this);
+    if (session_.has_output() && manager_.output_) manager_.output_(*this);
 }
 
 void TrunkManager::Trunk::link_up(bool resumed) {
     Effects effects;
-    group_.link_up(front_.time_(), resumed, effects);
+    group_.link_up(manager_.now_(), resumed, effects);
     carry_out(std::move(effects));
 }
 
 const char* TrunkManager::Trunk::received(const Message& message) {
     Effects effects;
-    const char* wrong = group_.receive(front_.time_(), message, effects);
+    const char* error = group_.receive(manager_.now_(), message, effects);
     carry_out(std::move(effects));
-    return wrong;
+    return error;
 }
 
 void TrunkManager::Trunk::run_timers() {
-    const Instant now = front_.time_();
+    const Instant now = manager_.now_();
     Effects effects;
     group_.run_timers(now, effects);
     if (!effects.empty()) carry_out(std::move(effects));
     const AuditRules& audit = settings_.rules.audit;
-    if (audit.enabled && now - swept_ >= audit.interval) {
-        swept_ = now;
-        sweep();
+    if (audit.enabled && now - last_reconciled_ >= audit.interval) {
+        last_reconciled_ = now;
+        reconcile_with_table();
     }
 }
 
-// Guards against what an audit of the far end can't see: this end's own table and group disagree.
-void TrunkManager::Trunk::sweep() {
-    std::vector<std::pair<CallId, CallRef>> orphans;
+// Finds what an audit with the far end cannot: differences between this hub's own call table and group.
+void TrunkManager::Trunk::reconcile_with_table() {
+    std::vector<std::pair<CallId, CallRef>> only_in_group;
     for (const auto& [ref, leg] : group_.legs()) {
         if (leg.state == LegState::yielding || leg.state == LegState::releasing) continue;
-        const auto& of = leg.outgoing ? outgoing_ : incoming_;
-        const auto at = of.find(leg.call);
-        const ExchangeId* where = front_.table_.exchange_of(leg.call);
-        const bool known =
-            at != of.end() && at->second == ref && where && (!leg.outgoing || *where == settings_.exchange);
-        if (!known) orphans.emplace_back(leg.call, ref);
+        const auto& calls = leg.outgoing ? outgoing_ : incoming_;
+        const auto at = calls.find(leg.call);
+        const ExchangeId* exchange = manager_.table_.exchange_of(leg.call);
+        const bool is_known = at != calls.end() && at->second == ref && exchange &&
+                              (!leg.outgoing || *exchange == settings_.exchange);
+        if (!is_known) only_in_group.emplace_back(leg.call, ref);
     }
-    for (const auto& [call, ref] : orphans) {
-        ++front_.counts_.orphans;
-        for (auto* of : {&outgoing_, &incoming_})
-            if (const auto at = of->find(call); at != of->end() && at->second == ref) of->erase(at);
+    for (const auto& [call, ref] : only_in_group) {
+        ++manager_.counts_.only_in_group;
+        for (auto* calls : {&outgoing_, &incoming_})
+            if (const auto at = calls->find(call); at != calls->end() && at->second == ref) calls->erase(at);
         Effects effects;
-        group_.release(front_.time_(), ref, Reason::cut, effects);
+        group_.release(manager_.now_(), ref, Reason::cut, effects);
         carry_out(std::move(effects));
     }
-    const auto held = [this](const std::map<CallId, CallRef>& of, const CallId& call) {
-        const auto at = of.find(call);
-        return at != of.end() && group_.leg(at->second);
+    const auto is_held = [this](const std::map<CallId, CallRef>& calls, const CallId& call) {
+        const auto at = calls.find(call);
+        return at != calls.end() && group_.leg(at->second);
     };
-    for (const CallId& call : front_.table_.calls_at(settings_.exchange)) {
-        if (held(outgoing_, call)) continue;
-        ++front_.counts_.lost;
+    for (const CallId& call : manager_.table_.calls_at(settings_.exchange)) {
+        if (is_held(outgoing_, call)) continue;
+        ++manager_.counts_.only_in_table;
         outgoing_.erase(call);
-        front_.switches_.on_call_ended(settings_.exchange, call, Outcome::reset, Cause::none, {});
+        manager_.switches_.on_call_ended(settings_.exchange, call, Outcome::reset, Cause::none, {});
     }
-    for (const CallId& call : front_.table_.calls_from(*this)) {
-        if (held(incoming_, call)) continue;
-        ++front_.counts_.lost;
+    for (const CallId& call : manager_.table_.calls_from(*this)) {
+        if (is_held(incoming_, call)) continue;
+        ++manager_.counts_.only_in_table;
         incoming_.erase(call);
-        front_.callers_.on_release(*this, call);
+        manager_.callers_.on_release(*this, call);
     }
 }
 
 bool TrunkManager::Trunk::restore(const LedgerCall& call) {
-    if (!group_.restore(call.claim, call.call, call.outgoing, front_.time_())) return false;
+    if (!group_.restore(call.claim, call.call, call.outgoing, manager_.now_())) return false;
     (call.outgoing ? outgoing_ : incoming_)[call.call] = call.claim.call;
     return true;
 }
 
-// ---- Operators ---------------------------------------------------------------------------------------
+// ---- Operators' commands
+// ---------------------------------------------------------------------------------------
 
 void TrunkManager::Trunk::block(const CircuitList& circuits, Blocking blocking) {
     Effects effects;
-    group_.block(front_.time_(), circuits, blocking, effects);
+    group_.block(manager_.now_(), circuits, blocking, effects);
     carry_out(std::move(effects));
 }
 
 void TrunkManager::Trunk::reset(const CircuitList& circuits) {
     Effects effects;
-    group_.reset(front_.time_(), circuits, Reason::reset, effects);
+    group_.reset(manager_.now_(), circuits, Reason::reset, effects);
     carry_out(std::move(effects));
 }
 
 void TrunkManager::Trunk::audit() {
-    group_.audit_now(front_.time_());
-    swept_ = {};
+    group_.audit_now(manager_.now_());
+    last_reconciled_ = {};
     run_timers();
-    if (front_.earlier_) front_.earlier_(group_.next_timer());
+    if (manager_.schedule_) manager_.schedule_(group_.next_timer());
 }
 
 void TrunkManager::Trunk::update_timers(const GroupRules& rules) {
     settings_.rules = rules;
     group_.update_timers(rules);
-    if (front_.earlier_) front_.earlier_(group_.next_timer());
+    if (manager_.schedule_) manager_.schedule_(group_.next_timer());
 }
 
 void TrunkManager::Trunk::inject_memory_loss(CallRef ref) {
     group_.inject_memory_loss(ref);
-    report();
+    report_state();
 }
 
 // ---- All groups --------------------------------------------------------------------------------------
 
-TrunkManager::TrunkManager(int own_number, Clock time, CallerEvents& callers, SwitchEvents& switches,
+TrunkManager::TrunkManager(int own_number, Clock now, CallerEvents& callers, SwitchEvents& switches,
                            const CallTable& table)
-    : own_number_(own_number),
-      time_(std::move(time)),
-      callers_(callers),
-      switches_(switches),
-      table_(table) {}
+    : own_number_(own_number), now_(std::move(now)), callers_(callers), switches_(switches), table_(table) {}
 
 void TrunkManager::begin(std::uint32_t incarnation, Ledger* ledger) {
     ledger_ = ledger;
@@ -382,23 +383,25 @@
     return event;
 }
 
-std::size_t TrunkManager::restore(const std::vector<LedgerCall>& calls,
-                                  const std::function<void(const LedgerCall&, CallerLink*)>& tell_table) {
+std::size_t TrunkManager::restore(
+    const std::vector<LedgerCall>& calls,
+    const std::function<void(const LedgerCall&, CallerLink*)>& restore_in_table) {
     std::size_t restored = 0;
     for (const auto& [id, trunk] : trunks_) {
-        std::vector<Claim> remembered;
+        std::vector<Claim> stored;
         for (const LedgerCall& call : calls)
-            if (call.group == id) remembered.push_back(call.claim);
-        const std::vector<Claim> sound = select_claimable(remembered, trunk->settings_.rules.circuits);
+            if (call.group == id) stored.push_back(call.claim);
+        const std::vector<Claim> claimable = select_claimable(stored, trunk->settings_.rules.circuits);
         for (const LedgerCall& call : calls) {
-            if (call.group != id || std::find(sound.begin(), sound.end(), call.claim) == sound.end())
+            if (call.group != id ||
+                std::find(claimable.begin(), claimable.end(), call.claim) == claimable.end())
                 continue;
             if (trunk->ref_of(call.call) != kNoCall || !trunk->restore(call)) continue;
             ++restored;
-            tell_table(call, call.outgoing ? nullptr : static_cast<CallerLink*>(trunk.get()));
+            restore_in_table(call, call.outgoing ? nullptr : static_cast<CallerLink*>(trunk.get()));
         }
     }
-    if (earlier_) earlier_(next_timer());
+    if (schedule_) schedule_(next_timer());
     return restored;
 }
 
@@ -406,18 +409,18 @@
     if (Trunk* const trunk = find(group)) trunk->group_.restore(circuit, blocking);
 }
 
-void TrunkManager::set_up(const ExchangeId& at, const OutgoingSetUp& forward) {
-    if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end()) trunk->second->set_up(forward);
+void TrunkManager::set_up(const ExchangeId& at, const OutgoingSetUp& request) {
+    if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end()) trunk->second->set_up(request);
 }
 
 void TrunkManager::cancel(const ExchangeId& at, const CallId& call) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
-        trunk->second->let_go(call, Reason::normal);
+        trunk->second->release_outgoing(call, Reason::normal);
 }
 
 void TrunkManager::release(const ExchangeId& at, const CallId& call) {
     if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
-        trunk->second->let_go(call, Reason::normal);
+        trunk->second->release_outgoing(call, Reason::normal);
 }
 
 void TrunkManager::add_subscriber_lines(const ListedExchange& lines) {
@@ -433,14 +436,14 @@
 void TrunkManager::run_timers() {
     if (handed_over_) return;
     for (const auto& [id, trunk] : trunks_)
-        if (trunk->group().next_timer() <= time_()) trunk->run_timers();
-    if (earlier_) earlier_(next_timer());
+        if (trunk->group().next_timer() <= now_()) trunk->run_timers();
+    if (schedule_) schedule_(next_timer());
 }
 
 Instant TrunkManager::next_timer() const {
-    Instant due = Instant::max();
-    for (const auto& [id, trunk] : trunks_) due = std::min(due, trunk->group().next_timer());
-    return due;
+    Instant next = Instant::max();
+    for (const auto& [id, trunk] : trunks_) next = std::min(next, trunk->group().next_timer());
+    return next;
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/trunk_manager.hpp
+++ b/src/trunk/trunk_manager.hpp
@@ -1,6 +1,7 @@
-// The trunk signalling as the call table sees it: groups are exchanges that it sets up to, and the far hubs'
-// calls are offers like any caller's. Keeps which call has which place on which group. Knows no socket and
-// reads no clock: the time comes with `Clock`, bytes go through the sessions, and the host wakes it.
+// Connects the trunk signalling with the call table. To the call table a circuit group is an exchange that it
+// sends set-ups to, and the far hubs' calls are set-ups like any caller's. Keeps which call is on which group
+// under which reference. No socket and no clock of its own: a function yields the time, bytes go through the
+// sessions, and the host runs the timers.
 #pragma once
 
 #include <functional>
@@ -17,80 +18,98 @@
 
 struct GroupSettings {
     std::uint32_t id = 0;
-    ExchangeId exchange{};  // the far hub, as the call table knows it
-    int number = kNowhere;  // its exchange number
-    std::string zone{};
+    ExchangeId exchange{};  // the far hub's id in the call table
+    int number = kNowhere;  // the far hub's exchange number
+    std::string zone{};     // of the far hub
     GroupRules rules{};
 };
 
-// What outlives the process. A call is noted before the far end hears that it stands. There is one place a
-// circuit: whoever stands on it last has it, and a call that has lost one of its places is not whole any
-// more.
+// A standing call as the ledger has it.
 struct LedgerCall {
     std::uint32_t group = 0;
     Claim claim{};
     CallId call{};
     bool outgoing = false;
-    ExchangeId exchange{};  // of an incoming one: where it went on
-    std::string origin{};   // of an outgoing one: of the caller's connection
+    ExchangeId exchange{};  // of an incoming call: the exchange that it was routed to
+    std::string origin{};   // of an outgoing call: the origin of its caller's connection
     bool operator==(const LedgerCall&) const = default;
 };
+
+// What outlives the process: standing calls and blocked circuits. A call is stored before the far end learns
+// that it is answered. Each circuit has one entry, which belongs to the last call stored for it; an earlier
+// call that has lost an entry in this way no longer counts.
 class Ledger {
    public:
     virtual ~Ledger() = default;
     virtual void store_call(const LedgerCall& call) = 0;
-    virtual void remove_call(std::uint32_t group, const Claim& claim) = 0;  // where a place is still its own
+    // Removes the entries that still belong to the call.
+    virtual void remove_call(std::uint32_t group, const Claim& claim) = 0;
+    // Stores how this end blocks a circuit; Blocking::none: it is not blocked.
     virtual void store_blocking(std::uint32_t group, CircuitNumber circuit, Blocking blocking) = 0;
 };
 
 struct TrunkManagerCounts {
-    std::uint64_t offered = 0, orphans = 0, lost = 0;  // orphans, lost: on one side of the table only
+    std::uint64_t offered = 0;  // calls that far hubs have set up
+    // Calls that were released because only the group, or only the call table, had them.
+    std::uint64_t only_in_group = 0, only_in_table = 0;
 };
 
 class TrunkManager final : public Switches {
    public:
-    using Clock = std::function<Instant()>;
+    using Clock = std::function<Instant()>;  // the present time
 
-    class Trunk;  // one group and its link
+    class Trunk;  // one circuit group and its link
 
-    TrunkManager(int own_number, Clock time, CallerEvents& callers, SwitchEvents& switches,
+    TrunkManager(int own_number, Clock now, CallerEvents& callers, SwitchEvents& switches,
                  const CallTable& table);
     ~TrunkManager();
 
+    // Only before begin().
     Trunk& add(const GroupSettings& settings);
-    // Once all groups are there, before anything else. `life` differs from one start to the next; a null
-    // ledger remembers nothing.
+    // To be called once all groups are added, before anything else. `incarnation` must differ from one start
+    // to the next. With a null ledger nothing is stored.
     void begin(std::uint32_t incarnation, Ledger* ledger);
+    // All groups, ordered by id.
     std::vector<Trunk*> trunks() const;
+    // Null if there is no such group.
     Trunk* find(std::uint32_t group) const;
 
-    // A switch of this hub's own numbers: it ends calls and is no tandem.
+    // Adds a carrier switch that serves this hub's own subscriber lines: calls end there, and it is no
+    // tandem.
     void add_subscriber_lines(const ListedExchange& lines);
-    // The list with the groups' far hubs, which have no address, and the own lines in it, whatever it says of
-    // them itself.
+    // A list of exchanges with the far hubs of the groups, which have no address, and this hub's own
+    // subscriber lines added. Entries that the list itself has for these exchanges are removed, also from a
+    // list of changes, to which nothing is added.
     ListEvent with_far_hubs(ListEvent event) const;
 
-    // Another process has the ledger and the calls from now on: nothing is noted and nothing comes due here.
+    // The successor process has the ledger and the calls from now on: nothing is stored, and no timer runs
+    // here.
     void hand_over();
 
-    // Calls of a ledger: their groups claim them, and the call table has them again. Those that contradict
-    // each other, or the groups as they are now, are left out. Yields how many came back.
+    // Restores the calls of a ledger: their groups claim them, and `restore_in_table` is called for each,
+    // with a null link for an outgoing call. Calls that contradict each other, or the groups as they are now,
+    // are left out. Returns the number of calls restored.
     std::size_t restore(const std::vector<LedgerCall>& calls,
-                        const std::function<void(const LedgerCall&, CallerLink*)>& tell_table);
+                        const std::function<void(const LedgerCall&, CallerLink*)>& restore_in_table);
     void restore_blocked(std::uint32_t group, CircuitNumber circuit, Blocking blocking);
 
-    void set_up(const ExchangeId& at, const OutgoingSetUp& forward) override;
+    void set_up(const ExchangeId& at, const OutgoingSetUp& request) override;
     void cancel(const ExchangeId& at, const CallId& call) override;
     void release(const ExchangeId& at, const CallId& call) override;
 
-    // Whoever runs the timers hears of each earlier moment; whoever writes, of a group with bytes to write.
-    void on_schedule(std::function<void(Instant)> earlier) { earlier_ = std::move(earlier); }
+    // `schedule` is called with the time at which run_timers() is needed, whenever that may have become
+    // earlier.
+    void on_schedule(std::function<void(Instant)> schedule) { schedule_ = std::move(schedule); }
+    // `output` is called when a group's session has bytes to write.
     void on_output(std::function<void(Trunk&)> output) { output_ = std::move(output); }
+    // `freed` is called when an audit frees a circuit.
     void on_freed(std::function<void(const Trunk&, const FreedByAudit&)> freed) { freed_ = std::move(freed); }
-    void on_glare_lost(std::function<void(const Trunk&, const CallId&)> lost) {
-        glare_lost_ = std::move(lost);
+    // `glare_lost` is called when a set-up of this hub loses a dual seizure.
+    void on_glare_lost(std::function<void(const Trunk&, const CallId&)> glare_lost) {
+        glare_lost_ = std::move(glare_lost);
     }
     void run_timers();
+    // When the next timer expires; Instant::max() if none is running.
     Instant next_timer() const;
     const TrunkManagerCounts& counts() const { return counts_; }
 
@@ -98,12 +117,12 @@
     friend class Trunk;
 
     int own_number_;
-    Clock time_;
+    Clock now_;
     CallerEvents& callers_;
     SwitchEvents& switches_;
     const CallTable& table_;
     Ledger* ledger_ = nullptr;
-    std::function<void(Instant)> earlier_;
+    std::function<void(Instant)> schedule_;
     std::function<void(Trunk&)> output_;
     std::function<void(const Trunk&, const FreedByAudit&)> freed_;
     std::function<void(const Trunk&, const CallId&)> glare_lost_;
@@ -116,31 +135,35 @@
 
 class TrunkManager::Trunk final : public CallerLink, public LinkEvents {
    public:
-    Trunk(TrunkManager& front, const GroupSettings& settings);
+    Trunk(TrunkManager& manager, const GroupSettings& settings);
 
     const GroupSettings& settings() const { return settings_; }
     const Group& group() const { return group_; }
     const Session& session() const { return session_; }
     std::string take_output() { return session_.take_output(); }
 
-    // The connection, as its driver sees it. False: it is to be closed once the output is written.
+    // The connection, as its driver reports it. receive_bytes() returns false if the connection is to be
+    // closed once the output is written.
     void connected();
     bool receive_bytes(std::string_view bytes);
     void disconnected();
     void send_heartbeat();
 
-    // Operators' orders.
+    // Operators' commands.
     void block(const CircuitList& circuits, Blocking blocking);
     void reset(const CircuitList& circuits);
     void audit();
+    // Applies the time limits and audit rules of reloaded settings.
     void update_timers(const GroupRules& rules);
-    // For tests and the lab: see Group.
+    // For tests and the lab: see Group::inject_memory_loss().
     void inject_memory_loss(CallRef ref);
 
+    // kNoCall if the call is not on this group.
     CallRef ref_of(const CallId& call) const;
 
+    // CallerLink: what the call table decides about the far hub's calls.
     void answer(const CallId& call, Description description) override;
-    void release(const CallId& call, ReleaseReason ending) override;
+    void release(const CallId& call, ReleaseReason reason) override;
     std::string_view origin() const override { return origin_; }
 
     void link_up(bool resumed) override;
@@ -149,28 +172,29 @@
    private:
     friend class TrunkManager;
 
-    void set_up(const OutgoingSetUp& forward);
-    void let_go(const CallId& call, Reason reason);  // of ours
+    void set_up(const OutgoingSetUp& request);
+    void release_outgoing(const CallId& call, Reason reason);
     bool restore(const LedgerCall& call);
-    void sweep();  // what only one of group and call table has
+    // Releases calls that only the group or only the call table has.
+    void reconcile_with_table();
     void run_timers();
 
-    // Carries out effects: what goes to the far end and into the ledger first, in order, and only then what
-    // the call table hears. Guards the order of messages: what the table does in turn comes behind them.
+    // Carries out effects: first what goes to the far end and into the ledger, in order, and only then the
+    // events for the call table. Messages that the call table causes in turn thus follow the earlier ones.
     void carry_out(Effects effects);
-    void tell(const Offered& effect);
-    void tell(const Answered& effect);
-    void tell(const Ended& effect);
-    void report();  // the group's state, if it has changed
+    void notify_table(const Offered& effect);
+    void notify_table(const Answered& effect);
+    void notify_table(const Ended& effect);
+    void report_state();  // reports the number of free circuits to the call table if it has changed
 
-    TrunkManager& front_;
+    TrunkManager& manager_;
     GroupSettings settings_;
     std::string origin_;
     Group group_;
     Session session_;
     std::map<CallId, CallRef> outgoing_, incoming_;
-    int told_free_ = -1;
-    Instant swept_{};
+    int reported_free_ = -1;  // negative: nothing reported yet
+    Instant last_reconciled_{};
 };
 
 }  // namespace nettlestall::trunk
--- a/tests/trunk/parts_test.cpp
+++ b/tests/trunk/parts_test.cpp
@@ -1,5 +1,5 @@
-// The pure parts of the trunk signalling, each by itself: circuits, glare, selection, audit, recovery,
-// coding.
+// The parts of the trunk signalling that have no I/O, each by itself: circuits, glare, selection, audit,
+// recovery, coding.
 #include <algorithm>
 #include <limits>
 #include <set>
@@ -18,171 +18,180 @@
 
 namespace {
 
-void circuits_go_only_where_they_can() {
+void circuits_reject_events_that_their_state_does_not_allow() {
     Circuits c(2);
     CHECK(c.free_count() == 2 && c.exists(2) && !c.exists(3) && !c.exists(0));
-    CHECK(!c.apply(1, CircuitEvent::answer, 7));  // nobody has seized it
+    CHECK(!c.apply(1, CircuitEvent::answer, 7));  // not seized
     CHECK(c.apply(1, CircuitEvent::seize, 7) && c.at(1).call == 7 && c.free_count() == 1);
-    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 8));  // the far end's seizure: glare comes first
+    CHECK(!c.apply(1, CircuitEvent::accept_incoming,
+                   8));  // a seizure of the far end: the glare has to be settled first
     CHECK(c.apply(1, CircuitEvent::yield, 7) && c.apply(1, CircuitEvent::accept_incoming, 8) &&
           c.at(1).call == 8);
     CHECK(c.apply(1, CircuitEvent::answer, 8) && c.apply(1, CircuitEvent::release, 8));
-    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 9));  // the guard: not before the far end has confirmed
+    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 9));  // not before the far end has confirmed the release
     CHECK(c.apply(1, CircuitEvent::clear, 0) && c.at(1).is_idle() && c.at(1).call == kNoCall);
-    CHECK(c.at(1).changes == 6 && c.at(1).idle_since > c.at(2).idle_since);
+    CHECK(c.at(1).changes == 6 && c.at(1).idle_order > c.at(2).idle_order);
     c.block_there(2, Blocking::soft);
     CHECK(c.free_count() == 1 && c.busy_count() == 0);
 }
 
-void both_ends_agree_who_yields() {
+void both_ends_agree_which_seizure_wins() {
     const PointCodes low{10, 20}, high{20, 10};
     CHECK(controls(high, 2) && !controls(low, 2) && controls(low, 1) && !controls(high, 1));
-    Random dice{99};
+    Random random{99};
     for (int i = 0; i < 20'000; ++i) {
         std::set<CircuitNumber> a, b;
-        for (std::size_t n = 1 + dice.below(5); n > 0; --n) a.insert(1 + static_cast<int>(dice.below(8)));
-        for (std::size_t n = 1 + dice.below(5); n > 0; --n) b.insert(1 + static_cast<int>(dice.below(8)));
+        for (std::size_t n = 1 + random.below(5); n > 0; --n) a.insert(1 + static_cast<int>(random.below(8)));
+        for (std::size_t n = 1 + random.below(5); n > 0; --n) b.insert(1 + static_cast<int>(random.below(8)));
         const CircuitList as(a.begin(), a.end()), bs(b.begin(), b.end());
-        const bool low_stands = our_seizure_wins(low, as, bs), high_stands = our_seizure_wins(high, bs, as);
+        const bool low_wins = our_seizure_wins(low, as, bs), high_wins = our_seizure_wins(high, bs, as);
         if (lowest_contested_circuit(as, bs) == 0)
-            CHECK(low_stands && high_stands);
+            CHECK(low_wins && high_wins);
         else
-            CHECK(low_stands != high_stands);  // exactly one
+            CHECK(low_wins != high_wins);  // exactly one
     }
 }
 
-void each_end_hunts_from_its_own_half() {
+void each_end_hunts_in_its_own_half_first() {
     Circuits c(6);
     const PointCodes low{10, 20}, high{20, 10};
     CHECK(hunt(c, low, 3, Hunting::own_half) == (CircuitList{1, 3, 5}));
     CHECK(hunt(c, high, 3, Hunting::own_half) == (CircuitList{2, 4, 6}));
     CHECK(hunt(c, high, 3, Hunting::ascending) == (CircuitList{1, 2, 3}));
-    CHECK(hunt(c, low, 7, Hunting::own_half).empty());  // all or none
-    // Of the own half that longest idle, of the other half that latest idle (Q.764, method 2).
+    CHECK(hunt(c, low, 7, Hunting::own_half).empty());  // fewer are free: none is selected
+    // In the own half the circuit longest idle comes first, in the other half the one most recently idle
+    // (Q.764, method 2).
     for (const int n : {1, 4, 2}) c.apply(n, CircuitEvent::seize, 1), c.apply(n, CircuitEvent::clear, 0);
     CHECK(hunt(c, low, 1, Hunting::own_half) == (CircuitList{3}));
     CHECK(hunt(c, low, 4, Hunting::own_half) == (CircuitList{1, 2, 3, 5}));
-    // What was just lost in a glare comes last, but it comes.
+    // A circuit just lost in a glare comes last, but is used if there is no other.
     CHECK(hunt(c, low, 1, Hunting::own_half, {3}) == (CircuitList{5}));
     CHECK(hunt(c, low, 6, Hunting::own_half, {3}).size() == 6);
     c.block_here(5, Blocking::soft);
     CHECK(hunt(c, low, 6, Hunting::own_half).empty());
 }
 
-struct Question {
+// A group of four circuits with a call on circuit 2, and a query about all of them.
+struct AuditRound {
     Circuits circuits{4};
     AuditRules rules;
     Query query;
     Audit audit;
-    explicit Question(int confirmations = 1, bool skip_changed_circuits = true)
+    explicit AuditRound(int confirmations = 1, bool skip_changed_circuits = true)
         : rules{.confirmations = confirmations, .skip_changed_circuits = skip_changed_circuits},
           audit(rules) {
         circuits.apply(2, CircuitEvent::seize, 7), circuits.apply(2, CircuitEvent::accept, 7);
-        ask(1000s);
+        send_query(1000s);
     }
-    void ask(Instant now) {
+    void send_query(Instant now) {
         audit.start_now(now);
-        const auto asked = audit.ask(now, circuits);
-        CHECK(asked && asked->first == 1 && asked->count == 4);
-        query = *asked;
+        const auto sent = audit.next_query(now, circuits);
+        CHECK(sent && sent->first == 1 && sent->count == 4);
+        query = *sent;
     }
     QueryResponse response(std::vector<CallRef> calls) const {
         return {query.id, query.first, std::move(calls)};
     }
 };
 
-void an_audit_frees_what_only_one_end_holds() {
-    Question same;
-    CHECK(same.audit.judge(same.response({0, 7, 0, 0}), same.circuits).empty());
-    Question gone;
-    CHECK(gone.audit.judge(gone.response({0, 0, 0, 0}), gone.circuits) == std::vector<CircuitNumber>{2});
-    Question other;
-    CHECK(other.audit.judge(other.response({0, 8, 0, 5}), other.circuits) ==
+void audit_finds_circuits_held_at_one_end_only() {
+    AuditRound same;
+    CHECK(same.audit.evaluate(same.response({0, 7, 0, 0}), same.circuits).empty());
+    AuditRound gone;
+    CHECK(gone.audit.evaluate(gone.response({0, 0, 0, 0}), gone.circuits) == std::vector<CircuitNumber>{2});
+    AuditRound other;
+    CHECK(other.audit.evaluate(other.response({0, 8, 0, 5}), other.circuits) ==
           (std::vector<CircuitNumber>{2, 4}));
-    // Only the response to what was asked counts, and only once.
-    Question late;
+    // Only the response to the last query counts, and only once.
+    AuditRound late;
     const QueryResponse first = late.response({0, 0, 0, 0});
-    late.ask(1010s);
-    CHECK(late.audit.judge(first, late.circuits).empty());
-    CHECK(late.audit.judge(late.response({0, 0}), late.circuits).empty());
-    // Nor is an old response one to a question under other rules.
-    Question before;
+    late.send_query(1010s);
+    CHECK(late.audit.evaluate(first, late.circuits).empty());
+    CHECK(late.audit.evaluate(late.response({0, 0}), late.circuits).empty());
+    // After a change of the rules the response to an earlier query does not count either.
+    AuditRound before;
     const QueryResponse old = before.response({0, 0, 0, 0});
-    before.audit.take(before.rules);
-    before.ask(1010s);
-    CHECK(before.audit.judge(old, before.circuits).empty());
-    // What awaits a word of the other end, on either side, is no finding: a rejection may be under way.
-    Question waits;
-    CHECK(waits.audit.judge(waits.response({0, kTransient, kTransient, 0}), waits.circuits).empty());
-    waits.circuits.apply(1, CircuitEvent::seize, 9);
-    waits.ask(1010s);
-    CHECK(waits.audit.judge(waits.response({0, 7, 0, 0}), waits.circuits).empty());
-    // Two in a row, where so many are wanted.
-    Question twice(2);
-    CHECK(twice.audit.judge(twice.response({0, 0, 0, 0}), twice.circuits).empty() &&
+    before.audit.set_rules(before.rules);
+    before.send_query(1010s);
+    CHECK(before.audit.evaluate(old, before.circuits).empty());
+    // A circuit that waits for a message from the other end, at either end, is no mismatch: a rejection may
+    // be in transit.
+    AuditRound transient;
+    CHECK(transient.audit.evaluate(transient.response({0, kTransient, kTransient, 0}), transient.circuits)
+              .empty());
+    transient.circuits.apply(1, CircuitEvent::seize, 9);
+    transient.send_query(1010s);
+    CHECK(transient.audit.evaluate(transient.response({0, 7, 0, 0}), transient.circuits).empty());
+    // With two confirmations a circuit is found at the second mismatch in a row.
+    AuditRound twice(2);
+    CHECK(twice.audit.evaluate(twice.response({0, 0, 0, 0}), twice.circuits).empty() &&
           twice.audit.suspect_count() == 1);
-    twice.ask(1001s);
-    CHECK(twice.audit.judge(twice.response({0, 0, 0, 0}), twice.circuits) == std::vector<CircuitNumber>{2});
-    // Between two findings it was seen in order: that starts anew.
-    Question mended(2);
-    CHECK(mended.audit.judge(mended.response({0, 0, 0, 0}), mended.circuits).empty());
-    mended.ask(1001s);
-    CHECK(mended.audit.judge(mended.response({0, 7, 0, 0}), mended.circuits).empty());
-    mended.ask(1002s);
-    CHECK(mended.audit.judge(mended.response({0, 0, 0, 0}), mended.circuits).empty());
+    twice.send_query(1001s);
+    CHECK(twice.audit.evaluate(twice.response({0, 0, 0, 0}), twice.circuits) ==
+          std::vector<CircuitNumber>{2});
+    // A match between two mismatches starts the count again.
+    AuditRound interrupted(2);
+    CHECK(interrupted.audit.evaluate(interrupted.response({0, 0, 0, 0}), interrupted.circuits).empty());
+    interrupted.send_query(1001s);
+    CHECK(interrupted.audit.evaluate(interrupted.response({0, 7, 0, 0}), interrupted.circuits).empty());
+    interrupted.send_query(1002s);
+    CHECK(interrupted.audit.evaluate(interrupted.response({0, 0, 0, 0}), interrupted.circuits).empty());
 }
 
-// What happened between question and response is no finding. Without the guard it is one.
-void what_crosses_the_question_is_left_alone() {
-    for (const bool heeds : {true, false}) {
-        Question taken(1, heeds);
-        taken.circuits.apply(3, CircuitEvent::accept_incoming, 9);  // its news crosses the response
-        CHECK(taken.audit.judge(taken.response({0, 7, 0, 0}), taken.circuits).empty() == heeds);
-        Question released(1, heeds);
+// A circuit that changed between query and response is no mismatch. With the check off it is taken for one.
+void audit_skips_circuits_that_changed_after_the_query() {
+    for (const bool skips : {true, false}) {
+        AuditRound taken(1, skips);
+        taken.circuits.apply(3, CircuitEvent::accept_incoming,
+                             9);  // the message about it crosses the response
+        CHECK(taken.audit.evaluate(taken.response({0, 7, 0, 0}), taken.circuits).empty() == skips);
+        AuditRound released(1, skips);
         released.circuits.apply(2, CircuitEvent::clear, 0);
-        CHECK(released.audit.judge(released.response({0, 7, 0, 0}), released.circuits).empty() == heeds);
-        Question again(1, heeds);  // released and seized: the state is as before, the call is another
+        CHECK(released.audit.evaluate(released.response({0, 7, 0, 0}), released.circuits).empty() == skips);
+        AuditRound again(1, skips);  // released and seized again: the same state, another call
         again.circuits.apply(2, CircuitEvent::clear, 0);
         again.circuits.apply(2, CircuitEvent::accept_incoming, 8);
-        CHECK(again.audit.judge(again.response({0, 7, 0, 0}), again.circuits).empty() == heeds);
+        CHECK(again.audit.evaluate(again.response({0, 7, 0, 0}), again.circuits).empty() == skips);
     }
 }
 
-void audits_go_round_the_group() {
+void audit_queries_the_whole_group_in_turn() {
     Circuits c(10);
     Audit audit({.interval = 30s, .response_timeout = 5s, .circuits_per_query = 4});
-    CHECK(!audit.ask(1000s, c) && audit.next_timer() == 1030s);
+    CHECK(!audit.next_query(1000s, c) && audit.next_timer() == 1030s);
     std::vector<int> firsts;
     Instant now = 1030s;
     for (int i = 0; i < 3; ++i) {
-        const auto asked = audit.ask(now, c);
-        CHECK(asked);
-        firsts.push_back(asked->first);
-        CHECK(!audit.ask(now, c));  // one question at a time
-        audit.judge({asked->id, asked->first, std::vector<CallRef>(static_cast<std::size_t>(asked->count))},
-                    c);
+        const auto sent = audit.next_query(now, c);
+        CHECK(sent);
+        firsts.push_back(sent->first);
+        CHECK(!audit.next_query(now, c));  // one query at a time
+        audit.evaluate({sent->id, sent->first, std::vector<CallRef>(static_cast<std::size_t>(sent->count))},
+                       c);
     }
     CHECK(firsts == (std::vector<int>{1, 5, 9}) && audit.next_timer() == 1060s);
-    CHECK(audit.ask(1060s, c) && !audit.ask(1064s, c) && audit.ask(1065s, c));  // unanswered: put anew
-    CHECK(!Audit({.enabled = false}).ask(1000s, c));
+    CHECK(audit.next_query(1060s, c) && !audit.next_query(1064s, c) &&
+          audit.next_query(1065s, c));  // repeated after the response time-out
+    CHECK(!Audit({.enabled = false}).next_query(1000s, c));
 }
 
-void only_what_both_claim_is_kept() {
+void only_calls_claimed_by_both_ends_are_kept() {
     const std::vector<Claim> ours{{1, {1}}, {2, {2, 3}}, {3, {4}}}, theirs{{1, {1}}, {2, {2, 5}}, {4, {6}}};
-    const Reconciled a = reconcile(ours, theirs), b = reconcile(theirs, ours);
+    const Reconciliation a = reconcile(ours, theirs), b = reconcile(theirs, ours);
     CHECK(a.kept == std::vector<CallRef>{1} && b.kept == a.kept);
-    CHECK(a.ours == (std::vector<CallRef>{2, 3}) && a.theirs == (std::vector<CallRef>{2, 4}));
+    CHECK(a.only_ours == (std::vector<CallRef>{2, 3}) && a.only_theirs == (std::vector<CallRef>{2, 4}));
     CHECK(!find_error({theirs, {{9, Blocking::hard}}}, 9));
     CHECK(find_error({theirs, {}}, 5) && find_error({{{1, {1}}, {1, {2}}}, {}}, 9));
     CHECK(find_error({{{1, {1}}, {2, {1}}}, {}}, 9) && find_error({{}, {{10, Blocking::soft}}}, 9));
-    // A ledger that contradicts itself, or is of a larger group, loses the calls concerned and no others.
-    const std::vector<Claim> sound = select_claimable(
+    // Where a ledger contradicts itself or comes from a larger group, only the calls concerned are lost.
+    const std::vector<Claim> claimable = select_claimable(
         {{1, {1}}, {2, {2, 3}}, {3, {3}}, {4, {7}}, {5, {}}, {6, {5, 4}}, {8, {6}}, {8, {5}}, {9, {0}}}, 6);
-    CHECK(sound == (std::vector<Claim>{{1, {1}}}));
+    CHECK(claimable == (std::vector<Claim>{{1, {1}}}));
 }
 
 // ---- Coding ------------------------------------------------------------------------------------------
 
+// One frame of each kind and each message.
 std::vector<Frame> samples() {
     const CallData data{
         "00000000000000aa", "live-board", "7f3a", std::string("a\0b", 3), 3, 1, 1500ms, true, false};
@@ -203,21 +212,21 @@
     return all;
 }
 
-void what_is_written_is_read() {
+void encoded_frames_are_decoded() {
     FrameReader reader;
     std::string bytes;
     for (const Frame& frame : samples()) bytes += encode(frame);
-    std::vector<std::string> found;
+    std::vector<std::string> decoded;
     Frame frame;
     for (const char byte : bytes) {  // one at a time
         reader.append(std::string_view(&byte, 1));
-        while (reader.next(frame) == FrameReader::Status::complete) found.push_back(encode(frame));
+        while (reader.next(frame) == FrameReader::Status::complete) decoded.push_back(encode(frame));
     }
-    CHECK(found.size() == samples().size());
-    for (std::size_t i = 0; i < found.size(); ++i) CHECK(found[i] == encode(samples()[i]));
+    CHECK(decoded.size() == samples().size());
+    for (std::size_t i = 0; i < decoded.size(); ++i) CHECK(decoded[i] == encode(samples()[i]));
 }
 
-void what_is_malformed_is_told() {
+void malformed_frames_are_refused() {
     for (const Frame& sample : samples()) {
         const std::string whole = encode(sample).substr(kFrameLengthBytes);
         for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!decode(whole.substr(0, cut)));
@@ -237,19 +246,19 @@
     CHECK(huge.next(frame) == FrameReader::Status::malformed);
 }
 
-void garbage_and_bent_bytes_break_nothing() {
-    Random dice{4711};
+void corrupted_bytes_yield_only_valid_frames() {
+    Random random{4711};
     const std::vector<Frame> all = samples();
     for (int i = 0; i < 60'000; ++i) {
-        std::string bytes = encode(all[dice.below(all.size())]);
-        for (std::size_t n = dice.below(4); n > 0; --n)
-            bytes[dice.below(bytes.size())] = static_cast<char>(dice.below(256));
-        if (dice.below(4) == 0) bytes.resize(dice.below(bytes.size()));
+        std::string bytes = encode(all[random.below(all.size())]);
+        for (std::size_t n = random.below(4); n > 0; --n)
+            bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
+        if (random.below(4) == 0) bytes.resize(random.below(bytes.size()));
         FrameReader reader;
         reader.append(bytes);
         Frame frame;
         while (reader.next(frame) == FrameReader::Status::complete) {
-            // Whatever is taken keeps to its bounds, and is the same when written again.
+            // A decoded frame keeps to its limits, and yields the same bytes when encoded and decoded again.
             const auto again = decode(std::string_view(encode(frame)).substr(kFrameLengthBytes));
             CHECK(again && encode(*again) == encode(frame));
         }
@@ -259,14 +268,14 @@
 }  // namespace
 
 int main() {
-    circuits_go_only_where_they_can();
-    both_ends_agree_who_yields();
-    each_end_hunts_from_its_own_half();
-    an_audit_frees_what_only_one_end_holds();
-    what_crosses_the_question_is_left_alone();
-    audits_go_round_the_group();
-    only_what_both_claim_is_kept();
-    what_is_written_is_read();
-    what_is_malformed_is_told();
-    garbage_and_bent_bytes_break_nothing();
+    circuits_reject_events_that_their_state_does_not_allow();
+    both_ends_agree_which_seizure_wins();
+    each_end_hunts_in_its_own_half_first();
+    audit_finds_circuits_held_at_one_end_only();
+    audit_skips_circuits_that_changed_after_the_query();
+    audit_queries_the_whole_group_in_turn();
+    only_calls_claimed_by_both_ends_are_kept();
+    encoded_frames_are_decoded();
+    malformed_frames_are_refused();
+    corrupted_bytes_yield_only_valid_frames();
 }
