--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -92,9 +92,9 @@
     for_each_attribute(message.text(ParameterCode::attributes),
                        [&offer](std::string_view name, std::string_view value) {
                            const auto whole = to_integer(value);
-                           if (name == "dest") offer.destination = small(whole, kNowhere);
+                           if (name == "dest") offer.destination = small(whole, kNoExchange);
                            if (name == "width") offer.width = small(whole, 0);
-                           if (name == "via") offer.via = small(whole, kNowhere);
+                           if (name == "via") offer.via = small(whole, kNoExchange);
                            if (name == "transit") offer.transit = whole == 1;
                            if (name == "again") offer.was_cut = whole == 1;
                        });
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -24,7 +24,7 @@
     ExchangeEntry& e = listed.entry;
     e.exchange = json::get_required<std::string>(server, "id");
     e.state = read_state(json::get_required<std::string>(server, "state"));
-    e.number = json::get_or(server, "cell", kNowhere);
+    e.number = json::get_or(server, "cell", kNoExchange);
     e.zone = json::get_or<std::string>(server, "zone", "");
     e.kind = json::get_or<std::string>(server, "kind", "");
     e.size = json::get_or(server, "weight", 1.0);
--- a/src/trunk/audit.cpp
+++ b/src/trunk/audit.cpp
@@ -62,7 +62,7 @@
             continue;
         }
         // A circuit that waits for a message from the other end, such as one whose call is being released,
-        // comes to a definite state without the audit.
+        // reaches a definite state without the audit.
         if (circuit.call == response.calls[i] || circuit.is_transient() || response.calls[i] == kTransient) {
             in_a_row = 0;
             continue;
--- a/src/trunk/group.cpp
+++ b/src/trunk/group.cpp
@@ -16,7 +16,7 @@
     return state == LegState::seizing || state == LegState::proceeding || state == LegState::incoming;
 }
 
-// Nobody at this end has the call any more, but its circuits wait for a message from the far end.
+// The call has ended for this end, but its circuits wait for a message from the far end.
 bool awaits_far_end(LegState state) {
     return state == LegState::yielding || state == LegState::releasing;
 }
--- a/src/trunk/group.hpp
+++ b/src/trunk/group.hpp
@@ -31,11 +31,12 @@
     Hunting hunting = Hunting::own_half;
     GlareRule glare_rule = &our_seizure_wins;  // others only in experiments
     AuditRules audit{};
-    Duration release_guard =
-        std::chrono::seconds(4);  // an unconfirmed release becomes a reset after this (T1, T5)
-    Duration reset_repeat_interval = std::chrono::seconds(5);  // an unconfirmed reset is repeated (T16, T17)
-    Duration link_down_hold =
-        std::chrono::seconds(30);  // standing calls are cut if the link is down for this long
+    // Time until an unconfirmed release becomes a reset (T1, T5 of Q.764).
+    Duration release_guard = std::chrono::seconds(4);
+    // Time until an unconfirmed reset is repeated (T16, T17).
+    Duration reset_repeat_interval = std::chrono::seconds(5);
+    // Standing calls are cut if the link is down for this long.
+    Duration link_down_hold = std::chrono::seconds(30);
 };
 
 enum class LegState : std::uint8_t { seizing, proceeding, incoming, standing, yielding, releasing };
@@ -51,7 +52,7 @@
     Instant since{};  // start of the state
 };
 
-// ---- Effects: what the caller of a Group has to carry out, in order ---------------------------------
+// ---- Effects: what a Group's owner has to carry out, in order ---------------------------------------
 
 // Send a message to the far end.
 struct Send {
@@ -194,7 +195,7 @@
     bool all_exist(const CircuitList& circuits) const;
     // Changes a call's state and applies `event` to its circuits.
     void change_state(Leg& leg, CallRef ref, LegState to, CircuitEvent event, Instant now);
-    // Reports the end of a call, unless this end has already released or given up the call.
+    // Reports the end of a call, unless it was reported when this end released the call or yielded.
     void report_end(Legs::iterator at, Reason reason, Effects& out);
     // Removes a call and clears its circuits.
     void remove(Legs::iterator at, Effects& out);
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -50,8 +50,8 @@
 struct CallData {
     CallId call{};  // 16 hex digits, the same at both ends
     std::string service_class{}, number{}, description{};
-    int destination = kNowhere;
-    int via = kNowhere;     // exchange number of the hub that sends it
+    int destination = kNoExchange;
+    int via = kNoExchange;  // exchange number of the hub that sends it
     Duration time_limit{};  // until the sender cancels the set-up
     bool was_cut = false, redial = false;
 };
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -17,9 +17,9 @@
         case Reason::glare:
         case Reason::not_idle:
         case Reason::unusable:
-            return {Outcome::turned_back, Cause::no_circuit};  // the set-up never reached the far hub
+            return {Outcome::rejected, Cause::no_circuit};  // the set-up never reached the far hub
         case Reason::refused:
-            return {Outcome::turned_back, direct ? Cause::processor_full : Cause::by_tandem};
+            return {Outcome::rejected, direct ? Cause::processor_full : Cause::rejected_by_tandem};
         case Reason::normal:
         case Reason::failed:
             return {Outcome::failed, Cause::none};
@@ -171,7 +171,7 @@
     Effects effects;
     const CallRef ref = group_.set_up(manager_.now_(), std::move(data), request.width, effects);
     if (ref == kNoCall)
-        return manager_.switches_.on_call_ended(settings_.exchange, request.call, Outcome::turned_back,
+        return manager_.switches_.on_call_ended(settings_.exchange, request.call, Outcome::rejected,
                                                 Cause::no_circuit, {});
     outgoing_[request.call] = ref;
     carry_out(std::move(effects));
@@ -425,7 +425,7 @@
 
 void TrunkManager::add_subscriber_lines(const ListedExchange& lines) {
     lines_.push_back(lines);
-    lines_.back().entry.lines_only = true;
+    lines_.back().entry.never_tandem = true;
 }
 
 void TrunkManager::hand_over() {
--- a/src/trunk/trunk_manager.hpp
+++ b/src/trunk/trunk_manager.hpp
@@ -18,9 +18,9 @@
 
 struct GroupSettings {
     std::uint32_t id = 0;
-    ExchangeId exchange{};  // the far hub's id in the call table
-    int number = kNowhere;  // the far hub's exchange number
-    std::string zone{};     // of the far hub
+    ExchangeId exchange{};     // the far hub's id in the call table
+    int number = kNoExchange;  // the far hub's exchange number
+    std::string zone{};        // of the far hub
     GroupRules rules{};
 };
 
--- a/tests/trunk/manager_test.cpp
+++ b/tests/trunk/manager_test.cpp
@@ -50,7 +50,7 @@
 
     static Settings settings() {
         Settings s;
-        s.controls = 2, s.max_attempts = 5, s.release_wait = 300ms, s.drain_grace = 500ms;
+        s.call_control_count = 2, s.max_attempts = 5, s.release_wait = 300ms, s.drain_grace = 500ms;
         for (const int width : {1, 3}) {
             ClassSettings c;
             c.name = width == 1 ? "move" : "live-board";
@@ -74,7 +74,7 @@
         own.entry.exchange = "lines", own.entry.number = number;
         manager.add_subscriber_lines(own);
         table.apply_list(manager.with_far_hubs(
-            {.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}}));
+            {.number = 1, .has_list = true, .kind = ListKind::cached, .version = 1, .entries = {}}));
         LoadReport load;
         load.free_circuits = load.group_size = 100;
         table.on_group_state("lines", load);
