--- a/src/trunk/circuits.hpp
+++ b/src/trunk/circuits.hpp
@@ -47,10 +47,10 @@
     CircuitState state = CircuitState::idle;
     CallRef call = kNoCall;
     Blocking blocked_here = Blocking::none, blocked_there = Blocking::none;
-    std::uint32_t changes =
-        0;  // counts changes of state or call; shows whether older information still holds
-    std::uint64_t idle_order =
-        0;  // rises each time that a circuit of the group becomes idle; zero: never busy
+    // Counts changes of state or call, which shows whether something known about the circuit still holds.
+    std::uint32_t changes = 0;
+    // Rises each time that a circuit of the group becomes idle; zero: never busy.
+    std::uint64_t idle_order = 0;
 
     bool is_idle() const { return state == CircuitState::idle; }
     // This end waits for a message from the far end, and frees the circuit itself if none comes.
--- a/src/trunk/messages.hpp
+++ b/src/trunk/messages.hpp
@@ -1,6 +1,6 @@
 // The messages of the trunk signalling and their compact binary coding. The terms follow Q.763, the coding is
-// this project's own: numbers are big-endian, a list follows its number of entries and a text its length,
-// each of 2 bytes. Field widths below are in bytes.
+// this project's own: numbers are big-endian, each list is preceded by its number of entries and each text by
+// its length, in 2 bytes. Field widths below are in bytes.
 //
 //     frame     = length:4 kind:1 body        length counts the bytes that follow it
 //     hello     = version:2 point:2 far point:2 group:4 circuits:2 incarnation:4 far incarnation:4 received:4
--- a/src/trunk/session.hpp
+++ b/src/trunk/session.hpp
@@ -32,6 +32,8 @@
     ~LinkEvents() = default;
 };
 
+// Numbered messages that were sent, received, received again and resent; hellos that resumed or restarted the
+// link; frames that were malformed or not allowed; hellos that were refused.
 struct LinkCounts {
     std::uint64_t sent = 0, received = 0, repeated = 0, resent = 0, resumed = 0, restarted = 0, malformed = 0,
                   mismatched = 0;
@@ -95,9 +97,10 @@
     };
     std::deque<Unconfirmed> unconfirmed_;
     std::size_t unconfirmed_bytes_ = 0;
-    std::uint32_t confirmed_ =
-        0;  // last own sequence number confirmed by the far end; unconfirmed_ follows it
-    std::uint32_t received_ = 0;  // last sequence number received from the far end, in order
+    // Last own sequence number that the far end has confirmed; unconfirmed_ follows it.
+    std::uint32_t confirmed_ = 0;
+    // Last sequence number received from the far end, in order.
+    std::uint32_t received_ = 0;
 };
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/trunk_manager.hpp
+++ b/src/trunk/trunk_manager.hpp
@@ -54,6 +54,7 @@
     std::uint64_t only_in_group = 0, only_in_table = 0;
 };
 
+// All circuit groups of this hub.
 class TrunkManager final : public Switches {
    public:
     using Clock = std::function<Instant()>;  // the present time
@@ -133,6 +134,8 @@
     TrunkManagerCounts counts_;
 };
 
+// One circuit group with its link, and the references of the calls on it. To the call table it is also the
+// connection on which the far hub's calls arrive.
 class TrunkManager::Trunk final : public CallerLink, public LinkEvents {
    public:
     Trunk(TrunkManager& manager, const GroupSettings& settings);
