--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -205,8 +205,7 @@
     carry_out(std::move(effects));
 }
 
-// ---- The link of a group
-// ----------------------------------------------------------------------------------------
+// ---- The link of a group ------------------------------------------------------------------------------
 
 void TrunkManager::Trunk::connected() {
     session_.connected();
@@ -300,8 +299,7 @@
     return true;
 }
 
-// ---- Operators' commands
-// ---------------------------------------------------------------------------------------
+// ---- Operators' commands ------------------------------------------------------------------------------
 
 void TrunkManager::Trunk::block(const CircuitList& circuits, Blocking blocking) {
     Effects effects;
--- a/tests/trunk/group_test.cpp
+++ b/tests/trunk/group_test.cpp
@@ -76,7 +76,7 @@
     TwoEnds t(2);
     const CallRef a = t.seize(low, "a");  // circuit 1
     t.end(high).block(t.now, {2}, Blocking::soft, *std::make_unique<Effects>());
-    t.seize(high, "b");  // circuit 1 too: its own is blocked
+    t.seize(high, "b");  // circuit 1 as well, since the circuit that the high end controls is blocked
     CHECK(!t.deliver(high));
     CHECK(t.was_reported(high, "ended b " + kGlare) && t.end(high).leg(a)->state == LegState::incoming);
 }
@@ -130,7 +130,7 @@
 void glare_during_link_break_is_settled_when_the_link_resumes() {
     TwoEnds t(1);
     const CallRef a = t.seize(low, "a"), b = t.seize(high, "b");
-    t.link_down();  // with both seizures under way
+    t.link_down();  // with both seizures in transit
     CHECK(t.was_reported(low, "ended a " + kLinkLost) && t.was_reported(high, "ended b " + kLinkLost));
     t.now += 19s;
     t.link_up(true);
--- a/tests/trunk/link_test.cpp
+++ b/tests/trunk/link_test.cpp
@@ -18,7 +18,7 @@
     Session session;
     End(PointCodes point_codes, std::uint32_t incarnation, int circuits = 30)
         : session({point_codes, 7, circuits}, incarnation, *this) {}
-    void link_up(bool again) override { ++(again ? resumed : restarted); }
+    void link_up(bool is_resumed) override { ++(is_resumed ? resumed : restarted); }
     const char* received(const Message& message) override {
         if (error) return error;
         received_calls.push_back(std::get<ReleaseComplete>(message).call);
--- a/tests/trunk/parts_test.cpp
+++ b/tests/trunk/parts_test.cpp
@@ -23,8 +23,8 @@
     CHECK(c.free_count() == 2 && c.exists(2) && !c.exists(3) && !c.exists(0));
     CHECK(!c.apply(1, CircuitEvent::answer, 7));  // not seized
     CHECK(c.apply(1, CircuitEvent::seize, 7) && c.at(1).call == 7 && c.free_count() == 1);
-    CHECK(!c.apply(1, CircuitEvent::accept_incoming,
-                   8));  // a seizure of the far end: the glare has to be settled first
+    // A seizure of the far end: the glare has to be settled first.
+    CHECK(!c.apply(1, CircuitEvent::accept_incoming, 8));
     CHECK(c.apply(1, CircuitEvent::yield, 7) && c.apply(1, CircuitEvent::accept_incoming, 8) &&
           c.at(1).call == 8);
     CHECK(c.apply(1, CircuitEvent::answer, 8) && c.apply(1, CircuitEvent::release, 8));
@@ -142,8 +142,8 @@
 void audit_skips_circuits_that_changed_after_the_query() {
     for (const bool skips : {true, false}) {
         AuditRound taken(1, skips);
-        taken.circuits.apply(3, CircuitEvent::accept_incoming,
-                             9);  // the message about it crosses the response
+        // The message about this seizure crosses the response.
+        taken.circuits.apply(3, CircuitEvent::accept_incoming, 9);
         CHECK(taken.audit.evaluate(taken.response({0, 7, 0, 0}), taken.circuits).empty() == skips);
         AuditRound released(1, skips);
         released.circuits.apply(2, CircuitEvent::clear, 0);
