--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -13,18 +13,20 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kAcceptPause{20};  // after an error such as too many descriptors
-constexpr milliseconds kPieceGap{400};    // within it a caller goes on, who has connected or sent a piece
-constexpr milliseconds kSweep{100};
-constexpr milliseconds kAwayTick{20};
-constexpr milliseconds kFirstChance{500};  // in a drain, for a connection that has asked for nothing yet
-// From its start until a connection has asked for something, in pieces or not: whoever never does is owed a
-// close within 3 s.
-constexpr milliseconds kFirstWord{2800};
-constexpr milliseconds kRestOfMessage{2800};  // from a message's first byte until its last
-
-// Of a socket that another process has passed on.
-tcp family_of(int descriptor) {
+constexpr milliseconds kAcceptRetryPause{20};  // after an error such as too many descriptors
+// A caller that has just connected, or is sending a message in pieces, goes on within this time.
+constexpr milliseconds kMaxPieceGap{400};
+constexpr milliseconds kOverdueCheckInterval{100};
+constexpr milliseconds kIdleCloseInterval{20};
+// In a drain a new connection that has asked for nothing yet stays open for this time.
+constexpr milliseconds kMinFirstRequestTime{500};
+// From the start of a connection until its first whole request. A connection that never asks for anything
+// must be closed within 3 s.
+constexpr milliseconds kMaxFirstRequestTime{2800};
+constexpr milliseconds kMaxMessageTime{2800};  // from a message's first byte to its last
+
+// The address family of a socket that another process has passed on.
+tcp address_family(int descriptor) {
     sockaddr at{};
     socklen_t size = sizeof at;
     ::getsockname(descriptor, &at, &size);
@@ -33,66 +35,73 @@
 
 }  // namespace
 
-class CallerConnections::Client final : public protocol::CallerSession::Out {
+// One connection of a caller.
+class CallerConnections::Caller final : public protocol::CallerSession::Out {
    public:
-    Client(tcp::socket socket, CallerEvents& events, Counters& counters)
+    Caller(tcp::socket socket, CallerEvents& events, Counters& counters)
         : connection_(std::make_shared<Connection>(std::move(socket), counters)),
-          session_(events, *this, counters, connection_->origin()) {}
+          session_(events, *this, counters, connection_->remote_address()) {}
 
     void send(protocol::Frame frame) override { connection_->send(std::move(frame)); }
     Connection& connection() { return *connection_; }
     protocol::CallerSession& session() { return session_; }
     const CallerLink::Use& use() const { return session_.use; }
-    bool idle() const { return connection_->idle(); }
-    Clock::time_point heard() const { return half_.last_read(); }
-    void hears(Clock::time_point now) { half_.heard(session_, now); }
-    // New, or with a message that comes in pieces.
-    bool about_to_ask(Clock::time_point now) const {
-        return (!session_.has_asked() || session_.within_message()) && now - heard() < kPieceGap;
+    bool is_idle() const { return connection_->is_idle(); }
+    Clock::time_point last_read() const { return partial_.last_read(); }
+    void on_read(Clock::time_point now) { partial_.on_read(session_, now); }
+    // The connection is new, or a message is arriving in pieces, and the last piece came only just now.
+    bool is_about_to_ask(Clock::time_point now) const {
+        return (!session_.has_asked() || session_.within_message()) && now - last_read() < kMaxPieceGap;
     }
-    bool between_set_ups() const { return use().open == 0 && idle(); }
-    // Closed now it takes nothing from anybody: no answer is owed, none is on its way, nothing has begun.
-    bool in_a_gap(Clock::time_point now) const {
-        return between_set_ups() && use().standing == 0 && !session_.within_message() &&
-               (session_.has_asked() || now - opened_ >= kFirstChance);
+    // No set-up awaits an answer and all answers have been written.
+    bool can_be_passed_on() const { return use().open == 0 && is_idle(); }
+    // Closing it now loses nothing: there is no pending answer, no standing call and no incomplete message.
+    bool can_be_closed(Clock::time_point now) const {
+        return can_be_passed_on() && use().standing == 0 && !session_.within_message() &&
+               (session_.has_asked() || now - opened_ >= kMinFirstRequestTime);
     }
-    // Ordinary callers may hold a connection without a call for as long as they like: only one that never
-    // asked for anything, or that stopped within a message, takes a descriptor for nothing.
-    bool overdue(Clock::time_point now) {
-        return half_.older_than(kRestOfMessage, session_, now) ||
-               (!session_.has_asked() && now - opened_ >= kFirstWord);
+    // Callers may hold a connection without a call for as long as they like. Only a connection that never
+    // asked for anything, or that stopped within a message, uses up a descriptor for nothing.
+    bool is_overdue(Clock::time_point now) {
+        return partial_.is_older_than(kMaxMessageTime, session_, now) ||
+               (!session_.has_asked() && now - opened_ >= kMaxFirstRequestTime);
     }
 
    private:
     std::shared_ptr<Connection> connection_;
     protocol::CallerSession session_;
-    HalfMessage half_;
+    PartialMessage partial_;
     Clock::time_point opened_ = Clock::now();
 };
 
-CallerConnections::CallerConnections(asio::io_context& io, std::size_t most, CallerEvents& events,
+CallerConnections::CallerConnections(asio::io_context& io, std::size_t max_connections, CallerEvents& events,
                                      Counters& counters)
-    : acceptor_(io), sweep_(io), away_tick_(io), most_(most), events_(events), counters_(counters) {}
+    : acceptor_(io),
+      overdue_timer_(io),
+      idle_timer_(io),
+      max_connections_(max_connections),
+      events_(events),
+      counters_(counters) {}
 
 void CallerConnections::listen(const tcp::endpoint& at) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    // For an upgrade where the listening socket cannot be passed on.
+    // Lets a successor process listen at the same address if the listening socket cannot be passed on to it.
     acceptor_.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
     acceptor_.bind(at);
     acceptor_.listen(1024);
 }
 
 void CallerConnections::listen_on(int descriptor) {
-    acceptor_.assign(family_of(descriptor), descriptor);
+    acceptor_.assign(address_family(descriptor), descriptor);
 }
 
 CallerConnections::~CallerConnections() = default;
 
 void CallerConnections::start() {
-    resume();
-    spawn(sweep_.get_executor(), sweep());
-    spawn(sweep_.get_executor(), send_away());
+    resume_accepting();
+    spawn(overdue_timer_.get_executor(), close_overdue());
+    spawn(overdue_timer_.get_executor(), close_idle());
 }
 
 void CallerConnections::stop() {
@@ -101,18 +110,19 @@
     acceptor_.close(ignored);
 }
 
-void CallerConnections::pause() {
+void CallerConnections::pause_accepting() {
     accepting_ = false;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
 }
 
-void CallerConnections::resume() {
+void CallerConnections::resume_accepting() {
     if (!std::exchange(accepting_, true)) spawn(acceptor_.get_executor(), accept());
 }
 
-bool CallerConnections::idle() const {
-    return std::all_of(open_.begin(), open_.end(), [](const auto& client) { return client->idle(); });
+bool CallerConnections::is_idle() const {
+    return std::all_of(connections_.begin(), connections_.end(),
+                       [](const auto& caller) { return caller->is_idle(); });
 }
 
 asio::awaitable<void> CallerConnections::accept() {
@@ -121,112 +131,119 @@
         auto [error, socket] = co_await acceptor_.async_accept(asio::as_tuple(asio::use_awaitable));
         if (error) {
             if (!accepting_) break;
-            pause.expires_after(kAcceptPause);
+            pause.expires_after(kAcceptRetryPause);
             co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
             continue;
         }
-        if (open_.size() >= most_ && !make_room()) {  // guards the descriptors that the switches need
+        // The bound leaves descriptors for the connections to carrier switches.
+        if (connections_.size() >= max_connections_ && !displace_one()) {
             ++counters_.client_connections_turned_away;
             continue;
         }
         ++counters_.client_connections;
-        take_in(std::move(socket), false, {});
+        add(std::move(socket), false, {});
     }
 }
 
-void CallerConnections::adopt(int descriptor, bool has_asked, std::string_view begun) {
+void CallerConnections::take_over_connection(int descriptor, bool has_asked,
+                                             std::string_view partial_message) {
     tcp::socket socket(acceptor_.get_executor());
     boost::system::error_code error;
-    socket.assign(family_of(descriptor), descriptor, error);
+    socket.assign(address_family(descriptor), descriptor, error);
     if (error) ::close(descriptor);
     if (error) return;
     ++counters_.client_connections_taken_over;
-    take_in(std::move(socket), has_asked, begun);
+    add(std::move(socket), has_asked, partial_message);
 }
 
-void CallerConnections::take_in(tcp::socket socket, bool has_asked, std::string_view begun) {
-    const auto client = std::make_shared<Client>(std::move(socket), events_, counters_);
-    open_.push_back(client);
-    events_.caller_up(client->session());
-    if (!client->session().resume(has_asked, begun)) return drop(client);
-    spawn(acceptor_.get_executor(), serve(client));
+void CallerConnections::add(tcp::socket socket, bool has_asked, std::string_view partial_message) {
+    const auto caller = std::make_shared<Caller>(std::move(socket), events_, counters_);
+    connections_.push_back(caller);
+    events_.caller_up(caller->session());
+    if (!caller->session().resume(has_asked, partial_message)) return close(caller);
+    spawn(acceptor_.get_executor(), serve(caller));
 }
 
-// Guards against callers that hold connections for nothing, be it one with hundreds or hundreds with one
-// each: a further caller takes the place of a connection without a set-up. One where calls stand goes last,
-// as their releases are to find it, and before it one that is still about to ask. Of the others whoever holds
-// the most loses one first, then one that never asked, the one longest silent.
-bool CallerConnections::make_room() {
-    std::map<std::string_view, int> held;
-    for (const auto& client : open_) ++held[client->session().origin()];
+// Closes the least needed connection without an open set-up, so that connections held without use, be it
+// hundreds by one caller or one each by hundreds, keep nobody out. Closed last are connections with standing
+// calls, since their releases are sent there, and before these those that are about to ask for something.
+// Among the others the caller with the most connections loses one first; then it is one that never asked for
+// anything, and then the one that has been silent for the longest time.
+bool CallerConnections::displace_one() {
+    std::map<std::string_view, int> connections_of;
+    for (const auto& caller : connections_) ++connections_of[caller->session().origin()];
     const auto now = Clock::now();
-    const auto worth_keeping = [&held, now](const std::shared_ptr<Client>& client) {
-        protocol::CallerSession& session = client->session();
-        return std::tuple(session.use.open > 0, session.use.standing > 0, client->about_to_ask(now),
-                          -held[session.origin()], session.has_asked(), client->heard());
+    const auto rank = [&connections_of, now](const std::shared_ptr<Caller>& caller) {
+        protocol::CallerSession& session = caller->session();
+        return std::tuple(session.use.open > 0, session.use.standing > 0, caller->is_about_to_ask(now),
+                          -connections_of[session.origin()], session.has_asked(), caller->last_read());
     };
-    const auto least = std::min_element(open_.begin(), open_.end(), [&](const auto& a, const auto& b) {
-        return worth_keeping(a) < worth_keeping(b);
-    });
-    if (least == open_.end() || (*least)->use().open > 0) return false;
+    const auto least_needed =
+        std::min_element(connections_.begin(), connections_.end(),
+                         [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
+    if (least_needed == connections_.end() || (*least_needed)->use().open > 0) return false;
     ++counters_.client_connections_displaced;
-    drop(*least);
+    close(*least_needed);
     return true;
 }
 
-// At once, not when its coroutine ends: nothing more is to be sent there, and its place is free.
-void CallerConnections::drop(std::shared_ptr<Client> client) {
-    if (std::erase(open_, client) == 0) return;
-    events_.caller_gone(client->session());
-    client->connection().close();
+void CallerConnections::close(std::shared_ptr<Caller> caller) {
+    if (std::erase(connections_, caller) == 0) return;
+    events_.caller_gone(caller->session());
+    caller->connection().close();
 }
 
-asio::awaitable<void> CallerConnections::sweep() {
+// Closes connections that never asked for anything or stopped within a message.
+asio::awaitable<void> CallerConnections::close_overdue() {
     while (!stopped_) {
-        sweep_.expires_after(kSweep);
-        co_await sweep_.async_wait(asio::as_tuple(asio::use_awaitable));
-        std::vector<std::shared_ptr<Client>> overdue;
+        overdue_timer_.expires_after(kOverdueCheckInterval);
+        co_await overdue_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+        std::vector<std::shared_ptr<Caller>> overdue;
         const auto now = Clock::now();
-        std::copy_if(open_.begin(), open_.end(), std::back_inserter(overdue),
-                     [now](const auto& client) { return client->overdue(now); });
+        std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(overdue),
+                     [now](const auto& caller) { return caller->is_overdue(now); });
         counters_.client_connections_overdue += overdue.size();
-        for (const auto& client : overdue) drop(client);
+        for (const auto& caller : overdue) close(caller);
     }
 }
 
-asio::awaitable<void> CallerConnections::send_away() {
+// While another process takes over, ends the reading of connections that can be passed on; serve() then
+// passes them on. While callers are to be sent elsewhere, closes those that can be closed.
+asio::awaitable<void> CallerConnections::close_idle() {
     while (!stopped_) {
-        away_tick_.expires_after(kAwayTick);
-        co_await away_tick_.async_wait(asio::as_tuple(asio::use_awaitable));
-        if (pass_) {
-            for (const auto& client : open_)
-                if (client->between_set_ups()) client->connection().pause_reading();
+        idle_timer_.expires_after(kIdleCloseInterval);
+        co_await idle_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+        if (pass_on_) {
+            for (const auto& caller : connections_)
+                if (caller->can_be_passed_on()) caller->connection().pause_reading();
             continue;
         }
-        if (!away_()) continue;
-        std::vector<std::shared_ptr<Client>> quiet;
+        if (!may_close_idle_()) continue;
+        std::vector<std::shared_ptr<Caller>> idle;
         const auto now = Clock::now();
-        std::copy_if(open_.begin(), open_.end(), std::back_inserter(quiet),
-                     [now](const auto& client) { return client->in_a_gap(now); });
-        counters_.client_connections_sent_away += quiet.size();
-        for (const auto& client : quiet) drop(client);
+        std::copy_if(connections_.begin(), connections_.end(), std::back_inserter(idle),
+                     [now](const auto& caller) { return caller->can_be_closed(now); });
+        counters_.client_connections_sent_away += idle.size();
+        for (const auto& caller : idle) close(caller);
     }
 }
 
-asio::awaitable<void> CallerConnections::serve(std::shared_ptr<Client> client) {
-    Connection& connection = client->connection();
-    protocol::CallerSession& session = client->session();
-    while (co_await connection.read_into(session, [&client] { client->hears(Clock::now()); })) {
-        // Something may have begun since the reading was paused: then it goes on here.
-        if (!pass_ || !client->between_set_ups() || std::erase(open_, client) == 0) continue;
+// Serves one caller's connection until the caller closes it, a message is malformed, close() closes it or it
+// is passed on to another process.
+asio::awaitable<void> CallerConnections::serve(std::shared_ptr<Caller> caller) {
+    Connection& connection = caller->connection();
+    protocol::CallerSession& session = caller->session();
+    while (co_await connection.read_into(session, [&caller] { caller->on_read(Clock::now()); })) {
+        // If a set-up has come since the reading was paused, the connection is served on here.
+        if (!pass_on_ || !caller->can_be_passed_on() || std::erase(connections_, caller) == 0) continue;
         ++counters_.client_connections_passed_on;
-        const std::string begun(session.begun());
+        const std::string partial_message(session.begun());
         events_.caller_gone(session);
         const int descriptor = connection.release();
-        if (descriptor >= 0) pass_(descriptor, session.has_asked(), begun);
+        if (descriptor >= 0) pass_on_(descriptor, session.has_asked(), partial_message);
         co_return;
     }
-    drop(client);
+    close(caller);
 }
 
 }  // namespace nettlestall::net
--- a/src/net/callers.hpp
+++ b/src/net/callers.hpp
@@ -1,4 +1,5 @@
-// The callers: a listener, and a thin driver for each connection.
+// Callers' connections: a listening socket and a coroutine for each connection, which reads into a
+// protocol::CallerSession and writes what the session sends. Makes no decision about calls.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,51 +11,61 @@
 
 namespace nettlestall::net {
 
+// Accepts and owns the connections of callers, up to a bound. Closes a connection when
+//  - the far end closes it or sends a malformed message,
+//  - it has asked for nothing for 2.8 s after it came up, or a message is incomplete for 2.8 s,
+//  - another connection needs its place (see displace_one()),
+//  - it has no call and callers are to be sent elsewhere (close_idle_while()),
+//  - the process ends.
 class CallerConnections {
    public:
-    CallerConnections(asio::io_context& io, std::size_t most, CallerEvents& events, Counters& counters);
+    // `max_connections`: open at the same time.
+    CallerConnections(asio::io_context& io, std::size_t max_connections, CallerEvents& events,
+                      Counters& counters);
     ~CallerConnections();
 
     void listen(const tcp::endpoint& at);  // throws boost::system::system_error if it cannot
-    void listen_on(int descriptor);        // of a listening socket that another process has passed on
-    int listener() { return acceptor_.native_handle(); }
-    void start();
-    // No connections are accepted; the listening socket stays.
-    void pause();
-    void resume();
-
-    // Passes each connection on, in a gap without an open set-up, with what has come of a message that has
-    // begun. Null: no more.
-    using Pass = std::function<void(int descriptor, bool has_asked, std::string begun)>;
-    void pass_on_by(Pass pass) { pass_ = std::move(pass); }
-    void adopt(int descriptor, bool has_asked, std::string_view begun);
-    std::size_t open() const { return open_.size(); }
-
-    // Closes connections without an open set-up, as long as `wanted` says so.
-    void send_away_while(std::function<bool()> wanted) { away_ = std::move(wanted); }
-    void use_most(std::size_t most) { most_ = most; }
-    void stop();        // no new connections
-    bool idle() const;  // all that was to be written has been
+    void listen_on(int descriptor);        // takes over a listening socket of another process
+    int listener_descriptor() { return acceptor_.native_handle(); }
+    void start();  // accepts from now on
+    // Accepts no connections; the listening socket stays open.
+    void pause_accepting();
+    void resume_accepting();
+
+    // Hands each connection to `pass_on` as soon as it has no open set-up, with the bytes of an incomplete
+    // message that have arrived. The descriptor then belongs to `pass_on`. Null: hands on no further ones.
+    using PassOn = std::function<void(int descriptor, bool has_asked, std::string partial_message)>;
+    void pass_connections_to(PassOn pass_on) { pass_on_ = std::move(pass_on); }
+    // Serves a connection that another process has passed on; owns the descriptor.
+    void take_over_connection(int descriptor, bool has_asked, std::string_view partial_message);
+    std::size_t connection_count() const { return connections_.size(); }
+
+    // While `predicate` is true, closes connections that have neither an open set-up nor a standing call.
+    void close_idle_while(std::function<bool()> predicate) { may_close_idle_ = std::move(predicate); }
+    void set_max_connections(std::size_t max_connections) { max_connections_ = max_connections; }
+    void stop();           // accepts no connections any more; the open ones stay
+    bool is_idle() const;  // everything queued has been written
 
    private:
-    class Client;
+    class Caller;
 
     asio::awaitable<void> accept();
-    asio::awaitable<void> sweep();
-    asio::awaitable<void> send_away();
-    void take_in(tcp::socket socket, bool has_asked, std::string_view begun);
-    asio::awaitable<void> serve(std::shared_ptr<Client> client);
-    bool make_room();
-    void drop(std::shared_ptr<Client> client);
+    asio::awaitable<void> close_overdue();
+    asio::awaitable<void> close_idle();
+    void add(tcp::socket socket, bool has_asked, std::string_view partial_message);
+    asio::awaitable<void> serve(std::shared_ptr<Caller> caller);
+    bool displace_one();  // false: each connection has an open set-up
+    // Closes at once, not when the coroutine ends: nothing more is sent on it, and its place is free.
+    void close(std::shared_ptr<Caller> caller);
 
     tcp::acceptor acceptor_;
-    asio::steady_timer sweep_, away_tick_;
-    std::function<bool()> away_ = [] { return false; };
-    std::size_t most_;
+    asio::steady_timer overdue_timer_, idle_timer_;
+    std::function<bool()> may_close_idle_ = [] { return false; };
+    std::size_t max_connections_;
     CallerEvents& events_;
     Counters& counters_;
-    std::vector<std::shared_ptr<Client>> open_;
-    Pass pass_;
+    std::vector<std::shared_ptr<Caller>> connections_;
+    PassOn pass_on_;
     bool accepting_ = false, stopped_ = false;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -16,23 +16,23 @@
 namespace nettlestall::net {
 namespace {
 
-constexpr std::size_t kGathered = 32;  // messages in one write
+constexpr std::size_t kMaxFramesPerWrite = 32;
 
 template <int Level, int Name>
-using SocketNumber = asio::detail::socket_option::integer<Level, Name>;
+using IntegerOption = asio::detail::socket_option::integer<Level, Name>;
 
 }  // namespace
 
 Connection::Connection(tcp::socket socket, Counters& counters)
     : socket_(std::move(socket)), counters_(counters) {
-    set_up_socket(socket_);
+    configure_socket(socket_);
 }
 
 void Connection::send(protocol::Frame frame) {
     if (!socket_.is_open()) return;
-    queued_ += frame.size();
-    // Guards against a far end that reads nothing: its messages would fill the memory.
-    if (queued_ > kMostQueued) {
+    queued_bytes_ += frame.size();
+    // The messages to a far end that does not read must not fill the memory.
+    if (queued_bytes_ > kMaxQueuedBytes) {
         ++counters_.overflowed;
         return close();
     }
@@ -47,7 +47,7 @@
     socket_.close(ignored);
 }
 
-// Only the read is out: a write that has begun would be cut off, so none may be.
+// Cancelling a socket also cuts off a write that is under way, so it is done only without one.
 void Connection::pause_reading() {
     paused_ = true;
     boost::system::error_code ignored;
@@ -60,37 +60,38 @@
     return error ? -1 : descriptor;
 }
 
-std::string Connection::origin() const {
+std::string Connection::remote_address() const {
     boost::system::error_code error;
-    const tcp::endpoint far = socket_.remote_endpoint(error);
-    return error ? std::string() : far.address().to_string();
+    const tcp::endpoint remote = socket_.remote_endpoint(error);
+    return error ? std::string() : remote.address().to_string();
 }
 
-// Holds the connection itself: nothing else may by the time that it starts.
+// Writes the queue until it is empty or the connection fails. The coroutine keeps the connection alive: its
+// owner may drop it before the coroutine starts.
 asio::awaitable<void> Connection::write(std::shared_ptr<Connection> self) {
     std::deque<protocol::Frame>& queue = self->queue_;
-    while (!queue.empty() && self->open()) {
+    while (!queue.empty() && self->is_open()) {
         std::vector<asio::const_buffer> buffers;
-        const std::size_t frames = std::min(queue.size(), kGathered);
+        const std::size_t frames = std::min(queue.size(), kMaxFramesPerWrite);
         for (std::size_t i = 0; i < frames; ++i) {
             buffers.push_back(asio::buffer(queue[i].head));
             if (queue[i].tail) buffers.push_back(asio::buffer(*queue[i].tail));
         }
         const auto [error, bytes] =
             co_await asio::async_write(self->socket_, buffers, asio::as_tuple(asio::use_awaitable));
-        self->count_whole(frames, bytes);
+        self->count_written_set_ups(frames, bytes);
         if (error) {
             self->close();
             break;
         }
-        self->queued_ -= bytes;
+        self->queued_bytes_ -= bytes;
         queue.erase(queue.begin(), queue.begin() + static_cast<std::ptrdiff_t>(frames));
     }
     self->writing_ = false;
 }
 
-// A write that breaks off may have brought some of its messages whole: the far end works on them.
-void Connection::count_whole(std::size_t frames, std::size_t bytes) {
+// Also after a write that failed: the far end handles the messages that were written completely.
+void Connection::count_written_set_ups(std::size_t frames, std::size_t bytes) {
     for (std::size_t i = 0; i < frames && queue_[i].size() <= bytes; ++i) {
         bytes -= queue_[i].size();
         counters_.set_ups_written += queue_[i].attempt;
@@ -106,8 +107,8 @@
     const auto ip = asio::ip::make_address(host, error);
     std::uint16_t port = 0;
     const char* const last = address.data() + address.size();
-    const auto [end, wrong] = std::from_chars(address.data() + colon + 1, last, port);
-    if (error || wrong != std::errc{} || end != last) return std::nullopt;
+    const auto [end, parse_error] = std::from_chars(address.data() + colon + 1, last, port);
+    if (error || parse_error != std::errc{} || end != last) return std::nullopt;
     return tcp::endpoint(ip, port);
 }
 
@@ -115,22 +116,23 @@
                                                    std::chrono::microseconds time_out) {
     using namespace asio::experimental::awaitable_operators;
     asio::steady_timer timer(socket.get_executor(), time_out);
-    const auto first = co_await (socket.async_connect(to, asio::as_tuple(asio::use_awaitable)) ||
-                                 timer.async_wait(asio::as_tuple(asio::use_awaitable)));
-    if (first.index() == 0) co_return std::get<0>(std::get<0>(first));
+    const auto completed = co_await (socket.async_connect(to, asio::as_tuple(asio::use_awaitable)) ||
+                                     timer.async_wait(asio::as_tuple(asio::use_awaitable)));
+    if (completed.index() == 0) co_return std::get<0>(std::get<0>(completed));
     boost::system::error_code ignored;
     socket.close(ignored);
     co_return asio::error::timed_out;
 }
 
-void set_up_socket(tcp::socket& socket) {
+void configure_socket(tcp::socket& socket) {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    // A machine that is gone says nothing: the kernel finds out within some seconds.
+    // A machine that has failed does not close its connections: the kernel finds out within 11 s (5 s of
+    // silence, then 3 probes 2 s apart).
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
-    socket.set_option(SocketNumber<IPPROTO_TCP, TCP_KEEPIDLE>(5), ignored);
-    socket.set_option(SocketNumber<IPPROTO_TCP, TCP_KEEPINTVL>(2), ignored);
-    socket.set_option(SocketNumber<IPPROTO_TCP, TCP_KEEPCNT>(3), ignored);
+    socket.set_option(IntegerOption<IPPROTO_TCP, TCP_KEEPIDLE>(5), ignored);
+    socket.set_option(IntegerOption<IPPROTO_TCP, TCP_KEEPINTVL>(2), ignored);
+    socket.set_option(IntegerOption<IPPROTO_TCP, TCP_KEEPCNT>(3), ignored);
 }
 
 }  // namespace nettlestall::net
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-// One TCP connection, whoever is at its far end: a bounded queue of messages and one writer that gathers
-// them.
+// A TCP connection that carries the binary protocol of callers or carrier switches, and what all network
+// drivers share: connecting, socket options, starting coroutines.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -23,101 +23,109 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Bytes: what a connection holds at the most, queued messages and one that is read.
-constexpr std::size_t kMostQueued = 64 * 1024;
-constexpr std::size_t kMostBuffered = kMostQueued + protocol::kLongestMessage;
+// Bytes of messages that may wait for being written on one connection.
+constexpr std::size_t kMaxQueuedBytes = 64 * 1024;
+// Bytes that one connection holds at most: the queue and one message that is being read.
+constexpr std::size_t kMaxConnectionBytes = kMaxQueuedBytes + protocol::kLongestMessage;
 
+// Owns the socket. Messages are queued and written in order, several in one write; a connection whose queue
+// would pass kMaxQueuedBytes is closed. The owner reads with read_into().
 class Connection : public std::enable_shared_from_this<Connection> {
    public:
     Connection(tcp::socket socket, Counters& counters);
 
     void send(protocol::Frame frame);
-    void close();  // at once; what is queued is dropped
-    bool open() const { return socket_.is_open(); }
-    std::string origin() const;  // the far end, without its port
-    bool idle() const { return queue_.empty(); }
+    void close();  // at once; queued messages are dropped
+    bool is_open() const { return socket_.is_open(); }
+    std::string remote_address() const;              // without the port; empty if there is no far end
+    bool is_idle() const { return queue_.empty(); }  // everything queued has been written
 
-    // The reading ends at the next chance, and no byte that was read is lost.
+    // Ends read_into() as soon as no write is under way; no byte that was read is lost.
     void pause_reading();
-    // Gives the socket up without closing it; nothing may be queued.
+    // Releases the socket without closing it and returns its descriptor, -1 on error. The queue must be
+    // empty.
     int release();
 
-    // Reads into `session` until the far end closes, breaks off or sends what is malformed: false then. True
-    // where the reading was paused. Each read is told to `heard`.
+    // Reads into `session` and calls `on_read` after each read, before the session handles the bytes. Returns
+    // false once the connection is closed or broken or the far end sent a malformed message, true once
+    // reading was paused.
     template <class Session, class F>
-    asio::awaitable<bool> read_into(Session& session, F heard) {
+    asio::awaitable<bool> read_into(Session& session, F on_read) {
         paused_ = false;
         for (;;) {
             const std::span<char> space = session.space();
             const auto [error, bytes] = co_await socket_.async_read_some(
                 asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
-            // Closed meanwhile: whoever did so wants to hear nothing more, though bytes had come.
-            if (paused_ && open() && error == asio::error::operation_aborted) co_return true;
-            if (error || !open()) co_return false;
-            heard();
+            // If this end has closed the connection meanwhile, bytes that had arrived are discarded.
+            if (paused_ && is_open() && error == asio::error::operation_aborted) co_return true;
+            if (error || !is_open()) co_return false;
+            on_read();
             if (!session.fed(bytes)) co_return false;
-            if (paused_ && open()) co_return true;
+            if (paused_ && is_open()) co_return true;
         }
     }
 
    private:
     static asio::awaitable<void> write(std::shared_ptr<Connection> self);
-    void count_whole(std::size_t frames, std::size_t bytes);  // of the first in the queue
+    // Counts the set-ups among the first `frames` of the queue that `bytes` written bytes cover completely.
+    void count_written_set_ups(std::size_t frames, std::size_t bytes);
 
     tcp::socket socket_;
     Counters& counters_;
     std::deque<protocol::Frame> queue_;
-    std::size_t queued_ = 0;
+    std::size_t queued_bytes_ = 0;
     bool writing_ = false, paused_ = false;
 };
 
-// Watches for a message that has begun on a connection and does not go on to its end.
-class HalfMessage {
+// Measures for how long a message has been arriving on a connection, to find one that stops before its end.
+class PartialMessage {
    public:
     using Clock = std::chrono::steady_clock;
 
-    // With every read, before its bytes go to the session.
+    // To be called with every read, before the session handles its bytes.
     template <class Session>
-    void heard(const Session& session, Clock::time_point now) {
-        if (!session.within_message()) began_ = now;
-        look(session);
-        heard_ = now;
+    void on_read(const Session& session, Clock::time_point now) {
+        if (!session.within_message()) started_ = now;
+        update(session);
+        last_read_ = now;
     }
+    // Whether a message is incomplete that began to arrive at least `age` ago.
     template <class Session>
-    bool older_than(Clock::duration age, const Session& session, Clock::time_point now) {
-        look(session);
-        return session.within_message() && now - began_ >= age;
+    bool is_older_than(Clock::duration age, const Session& session, Clock::time_point now) {
+        update(session);
+        return session.within_message() && now - started_ >= age;
     }
-    Clock::time_point last_read() const { return heard_; }
+    Clock::time_point last_read() const { return last_read_; }
 
    private:
-    // Where a read brought a message's end, what is begun now came with it.
+    // If the last read completed a message, the beginning of the next one came with the same read.
     template <class Session>
-    void look(const Session& session) {
-        if (whole_ != session.whole_messages()) began_ = heard_;
-        whole_ = session.whole_messages();
+    void update(const Session& session) {
+        if (whole_messages_ != session.whole_messages()) started_ = last_read_;
+        whole_messages_ = session.whole_messages();
     }
 
-    Clock::time_point heard_ = Clock::now(), began_ = heard_;
-    std::uint64_t whole_ = 0;
+    Clock::time_point last_read_ = Clock::now(), started_ = last_read_;
+    std::uint64_t whole_messages_ = 0;
 };
 
-// Starts a coroutine. What it throws ends the program with a message: a driver that stopped unnoticed would
-// leave its peer without answers.
+// Starts a coroutine. An exception that it throws leaves the event loop and ends the program with a message:
+// a driver that stopped unnoticed would leave its peer without answers.
 template <class Executor>
-void spawn(Executor&& on, asio::awaitable<void> coroutine) {
-    asio::co_spawn(on, std::move(coroutine), [](const std::exception_ptr& problem) {
-        if (problem) std::rethrow_exception(problem);
+void spawn(Executor&& executor, asio::awaitable<void> coroutine) {
+    asio::co_spawn(executor, std::move(coroutine), [](const std::exception_ptr& exception) {
+        if (exception) std::rethrow_exception(exception);
     });
 }
 
-// Nothing if `address` is not of the form address:port with a numeric address.
+// Parses address:port with a numeric address, IPv6 in brackets or without. std::nullopt if it is malformed.
 std::optional<tcp::endpoint> to_endpoint(const std::string& address);
 
-// Connects within `time_out`. The error is timed_out where nothing came up in time.
+// Connects within `time_out`; after that the socket is closed and the error is timed_out.
 asio::awaitable<boost::system::error_code> connect(tcp::socket& socket, tcp::endpoint to,
                                                    std::chrono::microseconds time_out);
 
-void set_up_socket(tcp::socket& socket);
+// Turns Nagle's algorithm off and TCP keep-alive on. Options that cannot be set are left as they are.
+void configure_socket(tcp::socket& socket);
 
 }  // namespace nettlestall::net
--- a/src/net/feed.cpp
+++ b/src/net/feed.cpp
@@ -8,77 +8,81 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::milliseconds kConnectTimeOut{1000};
-constexpr std::chrono::milliseconds kPause{100};
-constexpr std::chrono::milliseconds kSilence{2500};       // it says something every second
-constexpr std::chrono::milliseconds kFirstSilence{1300};  // a new process waits for it
-constexpr std::chrono::milliseconds kLook{100};
+constexpr std::chrono::milliseconds kReconnectInterval{100};
+constexpr std::chrono::milliseconds kMaxSilence{2500};  // the feed sends a line every second
+constexpr std::chrono::milliseconds kMaxFirstSilence{
+    1300};  // shorter, as a new process waits for the first line
+constexpr std::chrono::milliseconds kSilenceCheckInterval{100};
 
 }  // namespace
 
-Feed::Feed(asio::io_context& io, std::optional<tcp::endpoint> at, std::int64_t known,
-           protocol::FeedSession::Take take, std::size_t longest_line, Counters& counters)
-    : at_(std::move(at)),
-      session_(known, std::move(take), longest_line),
+FeedClient::FeedClient(asio::io_context& io, std::optional<tcp::endpoint> address, std::int64_t known,
+                       protocol::FeedSession::Take take, std::size_t max_line_bytes, Counters& counters)
+    : address_(std::move(address)),
+      session_(known, std::move(take), max_line_bytes),
       counters_(counters),
       socket_(io),
-      pause_(io),
-      silence_(io) {}
+      reconnect_timer_(io),
+      silence_timer_(io) {}
 
-void Feed::start() {
-    spawn(socket_.get_executor(), follow());
-    spawn(socket_.get_executor(), watch());
+void FeedClient::start() {
+    spawn(socket_.get_executor(), keep_connected());
+    spawn(socket_.get_executor(), watch_silence());
 }
 
-void Feed::stop() {
+void FeedClient::stop() {
     stopped_ = true;
     boost::system::error_code ignored;
     socket_.close(ignored);
-    pause_.cancel();
-    silence_.cancel();
+    reconnect_timer_.cancel();
+    silence_timer_.cancel();
 }
 
-void Feed::move(std::optional<tcp::endpoint> to) {
-    if (to == at_) return;
-    at_ = to;
-    moved_ = true;
+void FeedClient::set_address(std::optional<tcp::endpoint> to) {
+    if (to == address_) return;
+    address_ = to;
+    address_changed_ = true;
     boost::system::error_code ignored;
     socket_.close(ignored);
-    pause_.cancel();
+    reconnect_timer_.cancel();
 }
 
-void Feed::catch_up(std::int64_t last, const std::vector<ListEvent>& events) {
+void FeedClient::apply_events(std::int64_t last, const std::vector<ListEvent>& events) {
     session_.catch_up(last, events);
 }
 
-asio::awaitable<void> Feed::follow() {
+// Serves the feed until stop(): connects, reads until the connection closes, and connects again.
+asio::awaitable<void> FeedClient::keep_connected() {
     while (!stopped_) {
-        moved_ = false;
-        if (at_) co_await converse();
+        address_changed_ = false;
+        if (address_) co_await read_events();
         boost::system::error_code ignored;
         socket_.close(ignored);
         if (stopped_) co_return;
-        if (moved_) continue;  // dialled at once: the old address tells nothing more
-        pause_.expires_after(kPause);
-        co_await pause_.async_wait(asio::as_tuple(asio::use_awaitable));
+        if (address_changed_) continue;  // without a pause: the old address is not read any more
+        reconnect_timer_.expires_after(kReconnectInterval);
+        co_await reconnect_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
 
-asio::awaitable<void> Feed::converse() {
-    if (co_await connect(socket_, *at_, kConnectTimeOut) || moved_) co_return;
+// Reads one connection until it is closed, a line is malformed or the address changes.
+asio::awaitable<void> FeedClient::read_events() {
+    if (co_await connect(socket_, *address_, kConnectTimeOut) || address_changed_) co_return;
     ++counters_.feed_connections;
-    set_up_socket(socket_);
-    heard_ = Clock::now();
+    configure_socket(socket_);
+    last_read_ = Clock::now();
     const std::string line = session_.subscribe();
     co_await asio::async_write(socket_, asio::buffer(line), asio::as_tuple(asio::use_awaitable));
     for (;;) {
         const auto space = session_.space();
-        const auto [broken, bytes] = co_await socket_.async_read_some(
-            asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
-        // What had come from the address before a move is not taken: the new one tells it again.
-        if (broken || moved_) co_return;
-        heard_ = Clock::now();
+        const auto [error, bytes] = co_await socket_.async_read_some(asio::buffer(space.data(), space.size()),
+                                                                     asio::as_tuple(asio::use_awaitable));
+        // Bytes that came from the old address before a change are dropped: the new one sends the events
+        // again.
+        if (error || address_changed_) co_return;
+        last_read_ = Clock::now();
         if (session_.fed(bytes)) {
-            spoken_ = spoken_ || session_.whole_lines() > 0;
+            received_line_ = received_line_ || session_.whole_lines() > 0;
             continue;
         }
         ++counters_.malformed;
@@ -86,14 +90,15 @@
     }
 }
 
-// Guards against a feed that has fallen silent on an open connection: drains would be learned too late.
-asio::awaitable<void> Feed::watch() {
+// Closes a connection on which the feed has fallen silent: drains would be learned too late.
+asio::awaitable<void> FeedClient::watch_silence() {
     while (!stopped_) {
-        silence_.expires_after(kLook);
-        co_await silence_.async_wait(asio::as_tuple(asio::use_awaitable));
-        if (heard_ == Clock::time_point{} || Clock::now() - heard_ < (spoken_ ? kSilence : kFirstSilence))
+        silence_timer_.expires_after(kSilenceCheckInterval);
+        co_await silence_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+        if (last_read_ == Clock::time_point{} ||
+            Clock::now() - last_read_ < (received_line_ ? kMaxSilence : kMaxFirstSilence))
             continue;
-        heard_ = {};
+        last_read_ = {};
         boost::system::error_code ignored;
         socket_.close(ignored);
     }
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -17,13 +17,15 @@
 using std::chrono::milliseconds;
 using local = asio::local::stream_protocol;
 
-constexpr milliseconds kWord{1500};         // for what the other process can say at once
-constexpr milliseconds kPreparation{5000};  // of the new one; the old one waits as long and a half more
-constexpr milliseconds kLook{10};
-constexpr milliseconds kAcceptPause{100};
-constexpr std::size_t kMostDescriptors = 8;  // room for what comes with one read
-
-std::uint64_t inode(const std::string& path) {
+constexpr milliseconds kMaxReplyTime{1500};  // for messages that the other process sends without waiting
+// For the successor to become ready. The predecessor waits half as long again.
+constexpr milliseconds kMaxPreparationTime{5000};
+constexpr milliseconds kReadinessCheckInterval{10};
+constexpr milliseconds kAcceptRetryPause{100};
+constexpr std::size_t kMaxDescriptorsPerRead = 8;  // size of the control buffer
+
+// 0 if there is no such file.
+std::uint64_t inode_of(const std::string& path) {
     struct stat found {};
     return ::stat(path.c_str(), &found) == 0 ? found.st_ino : 0;
 }
@@ -34,100 +36,109 @@
     if (number_ >= 0) ::close(number_);
 }
 
-// One conversation: messages in both directions, each with a descriptor or without.
+// One connection to the other process: messages in both directions, some with a descriptor.
 class Handover::Channel : public std::enable_shared_from_this<Channel> {
    public:
-    explicit Channel(local::socket socket) : socket_(std::move(socket)), patience_(socket_.get_executor()) {
+    explicit Channel(local::socket socket)
+        : socket_(std::move(socket)), time_limit_timer_(socket_.get_executor()) {
         socket_.non_blocking(true);
     }
 
-    bool open() const { return socket_.is_open(); }
-    bool idle() const { return queue_.empty(); }
+    bool is_open() const { return socket_.is_open(); }
+    bool is_idle() const { return queue_.empty(); }
     void close() {
         boost::system::error_code ignored;
         socket_.close(ignored);
-        patience_.cancel();
+        time_limit_timer_.cancel();
     }
 
-    void send(const Message& message, Descriptor with) {
-        if (!open()) return;
-        queue_.push_back({message.bytes(), std::move(with)});
+    void send(const Message& message, Descriptor descriptor) {
+        if (!is_open()) return;
+        queue_.push_back({message.bytes(), std::move(descriptor)});
         if (std::exchange(writing_, true)) return;
         spawn(socket_.get_executor(), write(shared_from_this()));
     }
 
-    // The next message; nothing once the conversation is over, also where it takes longer than `patience`.
-    asio::awaitable<std::optional<Message>> hear(std::optional<milliseconds> patience = {}) {
-        if (patience) {
-            patience_.expires_after(*patience);
-            patience_.async_wait([held = weak_from_this()](const boost::system::error_code& stopped) {
-                if (const auto self = held.lock(); self && !stopped) self->close();
-            });
+    // The next message; std::nullopt once the connection is closed. Closes it if the message takes longer
+    // than `time_limit`.
+    asio::awaitable<std::optional<Message>> receive(std::optional<milliseconds> time_limit = {}) {
+        if (time_limit) {
+            time_limit_timer_.expires_after(*time_limit);
+            time_limit_timer_.async_wait(
+                [weak = weak_from_this()](const boost::system::error_code& cancelled) {
+                    if (const auto self = weak.lock(); self && !cancelled) self->close();
+                });
         }
         std::optional<Message> message = inbox_.next();
-        while (!message && open()) {
+        while (!message && is_open()) {
             const auto [error] =
                 co_await socket_.async_wait(local::socket::wait_read, asio::as_tuple(asio::use_awaitable));
-            if (error || !open() || !read()) close();
+            if (error || !is_open() || !read()) close();
             message = inbox_.next();
         }
-        patience_.cancel();
+        time_limit_timer_.cancel();
         if (message && message->carries_descriptor() && !descriptors_.empty()) {
-            beside_ = std::move(descriptors_.front());
+            received_descriptor_ = std::move(descriptors_.front());
             descriptors_.pop_front();
         }
         co_return message;
     }
-    Descriptor beside() { return std::move(beside_); }  // what came with the last message
+    Descriptor take_received_descriptor() {
+        return std::move(received_descriptor_);
+    }  // came with the last message
 
    private:
-    struct Waiting {
+    struct Outgoing {  // the rest of a message that is being written
         std::string bytes;
-        Descriptor with;
+        Descriptor descriptor;
     };
 
+    // Reads what has arrived, bytes and descriptors. False: the connection is closed, broken or malformed.
     bool read() {
         const auto space = inbox_.space();
-        iovec bytes{space.data(), space.size()};
-        alignas(cmsghdr) char beside[CMSG_SPACE(kMostDescriptors * sizeof(int))];
-        msghdr head{};
-        head.msg_iov = &bytes, head.msg_iovlen = 1;
-        head.msg_control = beside, head.msg_controllen = sizeof beside;
-        const ssize_t got = ::recvmsg(socket_.native_handle(), &head, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-        if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        for (cmsghdr* c = CMSG_FIRSTHDR(&head); c; c = CMSG_NXTHDR(&head, c)) {
-            if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
-            for (std::size_t i = 0; i < (c->cmsg_len - CMSG_LEN(0)) / sizeof(int); ++i) {
+        iovec buffer{space.data(), space.size()};
+        alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptorsPerRead * sizeof(int))];
+        msghdr header{};
+        header.msg_iov = &buffer, header.msg_iovlen = 1;
+        header.msg_control = control, header.msg_controllen = sizeof control;
+        const ssize_t received = ::recvmsg(socket_.native_handle(), &header, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
+        if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+        for (cmsghdr* part = CMSG_FIRSTHDR(&header); part; part = CMSG_NXTHDR(&header, part)) {
+            if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_RIGHTS) continue;
+            for (std::size_t i = 0; i < (part->cmsg_len - CMSG_LEN(0)) / sizeof(int); ++i) {
                 int number = -1;
-                std::memcpy(&number, CMSG_DATA(c) + i * sizeof(int), sizeof(int));
+                std::memcpy(&number, CMSG_DATA(part) + i * sizeof(int), sizeof(int));
                 descriptors_.emplace_back(number);
             }
         }
-        return got > 0 && inbox_.fed(static_cast<std::size_t>(got));
+        return received > 0 && inbox_.fed(static_cast<std::size_t>(received));
     }
 
+    // Writes the queue until it is empty or the connection is closed.
     static asio::awaitable<void> write(std::shared_ptr<Channel> self) {
-        while (!self->queue_.empty() && self->open()) {
-            Waiting& first = self->queue_.front();
-            iovec bytes{first.bytes.data(), first.bytes.size()};
-            alignas(cmsghdr) char beside[CMSG_SPACE(sizeof(int))] = {};
-            msghdr head{};
-            head.msg_iov = &bytes, head.msg_iovlen = 1;
-            if (first.with) {  // goes with the first of the bytes
-                head.msg_control = beside, head.msg_controllen = sizeof beside;
-                cmsghdr* const c = CMSG_FIRSTHDR(&head);
-                c->cmsg_level = SOL_SOCKET, c->cmsg_type = SCM_RIGHTS, c->cmsg_len = CMSG_LEN(sizeof(int));
-                const int number = first.with.get();
-                std::memcpy(CMSG_DATA(c), &number, sizeof number);
+        while (!self->queue_.empty() && self->is_open()) {
+            Outgoing& first = self->queue_.front();
+            iovec buffer{first.bytes.data(), first.bytes.size()};
+            alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
+            msghdr header{};
+            header.msg_iov = &buffer, header.msg_iovlen = 1;
+            if (first.descriptor) {  // travels with the first byte of the message
+                header.msg_control = control, header.msg_controllen = sizeof control;
+                cmsghdr* const part = CMSG_FIRSTHDR(&header);
+                part->cmsg_level = SOL_SOCKET, part->cmsg_type = SCM_RIGHTS,
+                part->cmsg_len = CMSG_LEN(sizeof(int));
+                const int number = first.descriptor.get();
+                std::memcpy(CMSG_DATA(part), &number, sizeof number);
             }
-            const ssize_t sent = ::sendmsg(self->socket_.native_handle(), &head, MSG_DONTWAIT | MSG_NOSIGNAL);
+            const ssize_t sent =
+                ::sendmsg(self->socket_.native_handle(), &header, MSG_DONTWAIT | MSG_NOSIGNAL);
             if (sent < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
                 self->close();
             } else if (sent < 0) {
                 co_await self->socket_.async_wait(local::socket::wait_write,
                                                   asio::as_tuple(asio::use_awaitable));
             } else {
-                first.with = Descriptor();
+                first.descriptor = Descriptor();
                 first.bytes.erase(0, static_cast<std::size_t>(sent));
                 if (first.bytes.empty()) self->queue_.pop_front();
             }
@@ -136,11 +147,11 @@
     }
 
     local::socket socket_;
-    asio::steady_timer patience_;
+    asio::steady_timer time_limit_timer_;
     protocol::HandoverInbox inbox_;
     std::deque<Descriptor> descriptors_;
-    Descriptor beside_;
-    std::deque<Waiting> queue_;
+    Descriptor received_descriptor_;
+    std::deque<Outgoing> queue_;
     bool writing_ = false;
 };
 
@@ -151,168 +162,177 @@
 
 Handover::~Handover() = default;
 
-bool Handover::find_predecessor() {
+bool Handover::connect_to_predecessor() {
     if (path_.empty()) return false;
     local::socket socket(io_);
     boost::system::error_code error;
     socket.open(local(), error);
     socket.non_blocking(true, error);
-    // Connects at once, or nobody listens: what a process left that was killed refuses.
+    // A Unix socket connects at once if a process listens; the file of a process that was killed refuses.
     socket.connect(local::endpoint(path_), error);
     if (error) return false;
-    spawn(io_, take(std::make_shared<Channel>(std::move(socket))));
+    spawn(io_, take_over_from(std::make_shared<Channel>(std::move(socket))));
     return true;
 }
 
-// Under another name first, so that at any time whoever looks finds one that serves.
-void Handover::claim() {
+// Binds under a temporary name and renames it, so that a new process finds a serving process at any time.
+void Handover::listen_for_successor() {
     if (path_.empty()) return;
-    const std::string fresh = path_ + ".new";
+    const std::string temporary = path_ + ".new";
     boost::system::error_code error;
     acceptor_.close(error);
-    ::unlink(fresh.c_str());
+    ::unlink(temporary.c_str());
     acceptor_.open(local(), error);
-    acceptor_.bind(local::endpoint(fresh), error);
+    acceptor_.bind(local::endpoint(temporary), error);
     if (!error) acceptor_.listen(4, error);
-    if (error || std::rename(fresh.c_str(), path_.c_str()) != 0) {
-        acceptor_.close(error);  // it serves all the same; the next one starts from nothing
+    if (error || std::rename(temporary.c_str(), path_.c_str()) != 0) {
+        acceptor_.close(error);  // serves without it; the next process then starts without a hand-over
         return;
     }
-    claimed_ = inode(path_);
+    own_inode_ = inode_of(path_);
     if (!std::exchange(accepting_, true)) spawn(io_, accept());
 }
 
-bool Handover::idle() const {
-    return !successor_ || successor_->idle();
+bool Handover::is_idle() const {
+    return !successor_ || successor_->is_idle();
 }
 
 void Handover::stop() {
     stopped_ = true;
-    if (claimed_ && claimed_ == inode(path_)) ::unlink(path_.c_str());
+    if (own_inode_ && own_inode_ == inode_of(path_)) ::unlink(path_.c_str());
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     if (successor_) successor_->close();
 }
 
-// ---- The one that serves -----------------------------------------------------------------------------
+// ---- The predecessor ---------------------------------------------------------------------------------
 
+// Accepts one successor at a time.
 asio::awaitable<void> Handover::accept() {
     asio::steady_timer pause(io_);
     while (acceptor_.is_open()) {
         auto [error, socket] = co_await acceptor_.async_accept(asio::as_tuple(asio::use_awaitable));
         if (error) {
-            pause.expires_after(kAcceptPause);
+            pause.expires_after(kAcceptRetryPause);
             co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
-        } else if (!successor_) {  // one at a time
+        } else if (!successor_) {
             successor_ = std::make_shared<Channel>(std::move(socket));
-            spawn(io_, give(successor_));
+            spawn(io_, serve_successor(successor_));
         }
     }
     accepting_ = false;
 }
 
-asio::awaitable<void> Handover::give(std::shared_ptr<Channel> to) {
-    std::optional<Message> message = co_await to->hear(kWord);
+// Serves a successor until it closes the connection, sends something malformed or exceeds a time limit. If it
+// has taken over by then, it has failed, and this process serves again.
+asio::awaitable<void> Handover::serve_successor(std::shared_ptr<Channel> to) {
+    std::optional<Message> message = co_await to->receive(kMaxReplyTime);
     if (message && message->greets()) {
-        to->send(Message::hello(), Descriptor(::dup(process_.listener())));
-        to->send({Kind::list, {process_.list()}}, Descriptor());
-        message = co_await to->hear(kPreparation + kPreparation / 2);
+        to->send(Message::hello(), Descriptor(::dup(process_.listener_descriptor())));
+        to->send({Kind::list, {process_.exchange_list()}}, Descriptor());
+        message = co_await to->receive(kMaxPreparationTime + kMaxPreparationTime / 2);
         if (message && message->kind == Kind::take_over && !stopped_) {
             ++counters_.handovers_given;
-            gave_way_ = true;
-            process_.give_way();  // the calls that stand go first: the new one is to know them when it serves
+            handing_over_ = true;
+            // Sends the standing calls, which the successor has to know before it serves.
+            process_.begin_handover();
             to->send({Kind::yours, {}}, Descriptor());
-            while (message) message = co_await to->hear();
+            while (message) message = co_await to->receive();
         }
     }
     to->close();
     successor_ = nullptr;
-    if (stopped_ || !std::exchange(gave_way_, false)) co_return;
+    if (stopped_ || !std::exchange(handing_over_, false)) co_return;
     ++counters_.handovers_taken_back;
-    process_.take_back();
-    claim();
+    process_.resume_service();
+    listen_for_successor();
 }
 
-void Handover::tell(Message message, Descriptor with) {
-    if (successor_) successor_->send(message, std::move(with));
+void Handover::send_to_successor(Message message, Descriptor descriptor) {
+    if (successor_) successor_->send(message, std::move(descriptor));
 }
 
-void Handover::pass_caller(Descriptor connection, bool has_asked, std::string begun) {
-    tell({Kind::caller, {has_asked ? "1" : "0", std::move(begun)}}, std::move(connection));
+void Handover::pass_on_caller(Descriptor connection, bool has_asked, std::string partial_message) {
+    send_to_successor({Kind::caller, {has_asked ? "1" : "0", std::move(partial_message)}},
+                      std::move(connection));
 }
 
-void Handover::tell_remaining(std::size_t connections) {
-    tell({Kind::remaining, {std::to_string(connections)}});
+void Handover::report_remaining(std::size_t connections) {
+    send_to_successor({Kind::remaining, {std::to_string(connections)}});
 }
 
 void Handover::stands(const ExchangeId& at, const CallId& call, std::string_view origin) {
-    tell({Kind::stands, {at, call, std::string(origin)}});
+    send_to_successor({Kind::stands, {at, call, std::string(origin)}});
 }
 
 void Handover::ended(const ExchangeId& at, const CallId& call, Outcome outcome) {
-    tell({Kind::ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
+    send_to_successor({Kind::ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
 }
 
 void Handover::released(const CallId& call) {
-    tell({Kind::released, {call}});
+    send_to_successor({Kind::released, {call}});
 }
 
-// ---- The new one ---------------------------------------------------------------------------------------
+// ---- The successor -------------------------------------------------------------------------------------
 
-// Whatever the old one does or leaves undone, this ends in taking over.
-asio::awaitable<void> Handover::take(std::shared_ptr<Channel> from) {
-    const bool given = co_await prepare(from);
-    if (!given) from->close();
+// Serves the connection to the predecessor: takes over, whatever the predecessor does or fails to do, and
+// then handles its messages until the predecessor closes the connection or sends something malformed.
+asio::awaitable<void> Handover::take_over_from(std::shared_ptr<Channel> from) {
+    const bool handed_over = co_await prepare_to_take_over(from);
+    if (!handed_over) from->close();
     if (stopped_) co_return;
-    counters_.handovers_taken += given;
+    counters_.handovers_taken += handed_over;
     process_.take_over();
-    claim();
-    while (const std::optional<Message> message = co_await from->hear()) take_in(*from, *message);
+    listen_for_successor();
+    while (const std::optional<Message> message = co_await from->receive()) handle(*from, *message);
     from->close();
-    process_.predecessor_holds(0);
+    process_.set_predecessor_connections(0);
 }
 
-asio::awaitable<bool> Handover::prepare(std::shared_ptr<Channel> from) {
+// The part before the successor serves. False: the predecessor has not handed over; the successor starts with
+// what it has got.
+asio::awaitable<bool> Handover::prepare_to_take_over(std::shared_ptr<Channel> from) {
     from->send(Message::hello(), Descriptor());
-    std::optional<Message> message = co_await from->hear(kWord);
-    Descriptor listener = from->beside();
+    std::optional<Message> message = co_await from->receive(kMaxReplyTime);
+    Descriptor listener = from->take_received_descriptor();
     if (!message || !message->greets() || !listener) co_return false;
-    process_.take_listener(std::move(listener));
-    message = co_await from->hear(kWord);
+    process_.use_listener(std::move(listener));
+    message = co_await from->receive(kMaxReplyTime);
     if (!message || message->kind != Kind::list) co_return false;
-    process_.take_list(message->parts[0]);
-    asio::steady_timer look(io_);
-    const auto latest = std::chrono::steady_clock::now() + kPreparation;
-    while (!process_.prepared() && std::chrono::steady_clock::now() < latest) {
-        look.expires_after(kLook);
-        co_await look.async_wait(asio::as_tuple(asio::use_awaitable));
+    process_.apply_list(message->parts[0]);
+    asio::steady_timer poll_timer(io_);
+    const auto deadline = std::chrono::steady_clock::now() + kMaxPreparationTime;
+    while (!process_.is_prepared() && std::chrono::steady_clock::now() < deadline) {
+        poll_timer.expires_after(kReadinessCheckInterval);
+        co_await poll_timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     from->send({Kind::take_over, {}}, Descriptor());
-    while ((message = co_await from->hear(kWord)) && message->kind != Kind::yours) take_in(*from, *message);
+    while ((message = co_await from->receive(kMaxReplyTime)) && message->kind != Kind::yours)
+        handle(*from, *message);
     co_return message.has_value();
 }
 
-void Handover::take_in(Channel& from, const Message& message) {
+void Handover::handle(Channel& from, const Message& message) {
     const auto& parts = message.parts;
     switch (message.kind) {
         case Kind::caller:
-            if (Descriptor connection = from.beside())
-                process_.take_caller(std::move(connection), parts[0] == "1", parts[1]);
+            if (Descriptor connection = from.take_received_descriptor())
+                process_.add_caller_connection(std::move(connection), parts[0] == "1", parts[1]);
             break;
         case Kind::remaining:
-            process_.predecessor_holds(static_cast<std::size_t>(
+            process_.set_predecessor_connections(static_cast<std::size_t>(
                 std::max<std::int64_t>(0, protocol::to_whole(parts[0]).value_or(0))));
             break;
         case Kind::stands:
-            process_.take_standing(parts[0], parts[1], parts[2]);
+            process_.add_standing_call(parts[0], parts[1], parts[2]);
             break;
         case Kind::ended:
-            process_.take_end(parts[0], parts[1], parts[2] == "1" ? Outcome::ended : Outcome::reset);
+            process_.end_standing_call(parts[0], parts[1], parts[2] == "1" ? Outcome::ended : Outcome::reset);
             break;
         case Kind::released:
-            process_.take_release(parts[0]);
+            process_.release_standing_call(parts[0]);
             break;
-        default:  // out of turn: means nothing here
+        default:  // out of order: ignored
             break;
     }
 }
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -1,4 +1,6 @@
-// The upgrade: the process that serves passes all it has to a new one, over a Unix socket. Either side of it.
+// The hand-over of an upgrade: the process that serves (the predecessor) passes its listening socket, its
+// list of exchanges, its callers' connections and its standing calls to a new process (the successor) over a
+// Unix socket. Both sides of it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,7 +15,7 @@
 
 namespace nettlestall::net {
 
-// A descriptor with one owner.
+// Owns a file descriptor and closes it; -1: none.
 class Descriptor {
    public:
     explicit Descriptor(int number = -1) : number_(number) {}
@@ -31,45 +33,54 @@
     int number_;
 };
 
+// A process is the successor of the one before it and later the predecessor of the next. As the Successor
+// that the call table knows, it sends the changes of standing calls to the successor.
 class Handover final : public Successor {
    public:
-    // The process itself, on either side.
+    // What the hand-over asks of the process that it is part of.
     class Process {
        public:
-        // As the one that serves.
-        virtual std::string list() const = 0;  // as a line of the feed
-        virtual int listener() = 0;
-        virtual void give_way() = 0;   // accepts no more, passes on what it has
-        virtual void take_back() = 0;  // the new process has gone: serves as before
-        // As the new one.
-        virtual void take_listener(Descriptor listener) = 0;
-        virtual void take_list(const std::string& line) = 0;
-        virtual bool prepared() = 0;
-        virtual void take_over() = 0;  // serves from now on, with whatever it was given
-        virtual void take_caller(Descriptor connection, bool has_asked, std::string_view begun) = 0;
-        virtual void predecessor_holds(std::size_t connections) = 0;
-        virtual void take_standing(const ExchangeId& at, const CallId& call, const std::string& origin) = 0;
-        virtual void take_end(const ExchangeId& at, const CallId& call, Outcome outcome) = 0;
-        virtual void take_release(const CallId& call) = 0;
+        // As the predecessor.
+        virtual std::string exchange_list() const = 0;  // as a line of the feed
+        virtual int listener_descriptor() = 0;
+        virtual void begin_handover() = 0;  // accepts no further connections, passes on the open ones
+        virtual void resume_service() = 0;  // the successor has gone: serves as before
+        // As the successor.
+        virtual void use_listener(Descriptor listener) = 0;
+        virtual void apply_list(const std::string& line) = 0;
+        virtual bool is_prepared() = 0;  // ready to serve
+        virtual void take_over() = 0;    // serves from now on, also if nothing was handed over
+        virtual void add_caller_connection(Descriptor connection, bool has_asked,
+                                           std::string_view partial_message) = 0;
+        // The number of callers' connections that the predecessor still has.
+        virtual void set_predecessor_connections(std::size_t connections) = 0;
+        virtual void add_standing_call(const ExchangeId& at, const CallId& call,
+                                       const std::string& origin) = 0;
+        virtual void end_standing_call(const ExchangeId& at, const CallId& call, Outcome outcome) = 0;
+        virtual void release_standing_call(const CallId& call) = 0;
 
        protected:
         ~Process() = default;
     };
 
-    // `path` of the socket; too long or empty: there is none, and nothing is handed over.
+    // `path`: of the Unix socket. If it is empty or too long for one, nothing is handed over.
     Handover(asio::io_context& io, std::string path, Process& process, Counters& counters);
     ~Handover();
 
-    // A process that serves answers at the path: from now on the talk with it goes on by itself, up to
-    // Process::take_over at the latest. False: there is nobody.
-    bool find_predecessor();
-    void claim();  // who comes next finds this process
+    // Connects to the process that listens at the path. If there is one, the hand-over runs in the background
+    // from now on and calls Process::take_over() in any case, after a few seconds at the latest. False: there
+    // is none.
+    bool connect_to_predecessor();
+    // From now on the next process finds this one at the path. An error leaves the process without a
+    // successor.
+    void listen_for_successor();
     void stop();
 
-    bool superseded() const { return gave_way_; }
-    bool idle() const;  // all that was to be written has been
-    void pass_caller(Descriptor connection, bool has_asked, std::string begun);
-    void tell_remaining(std::size_t connections);
+    bool is_superseded() const { return handing_over_; }  // a successor has taken over
+    bool is_idle() const;                                 // everything queued has been written
+    // The following go to the successor, if there is one; otherwise they do nothing.
+    void pass_on_caller(Descriptor connection, bool has_asked, std::string partial_message);
+    void report_remaining(std::size_t connections);
 
     void stands(const ExchangeId& at, const CallId& call, std::string_view origin) override;
     void ended(const ExchangeId& at, const CallId& call, Outcome outcome) override;
@@ -81,11 +92,11 @@
     using Kind = protocol::HandoverKind;
 
     asio::awaitable<void> accept();
-    asio::awaitable<void> give(std::shared_ptr<Channel> to);
-    asio::awaitable<void> take(std::shared_ptr<Channel> from);
-    asio::awaitable<bool> prepare(std::shared_ptr<Channel> from);
-    void take_in(Channel& from, const Message& message);
-    void tell(Message message, Descriptor with = Descriptor());
+    asio::awaitable<void> serve_successor(std::shared_ptr<Channel> to);
+    asio::awaitable<void> take_over_from(std::shared_ptr<Channel> from);
+    asio::awaitable<bool> prepare_to_take_over(std::shared_ptr<Channel> from);
+    void handle(Channel& from, const Message& message);
+    void send_to_successor(Message message, Descriptor descriptor = Descriptor());
 
     asio::io_context& io_;
     std::string path_;
@@ -93,8 +104,8 @@
     Counters& counters_;
     asio::local::stream_protocol::acceptor acceptor_;
     std::shared_ptr<Channel> successor_;
-    std::uint64_t claimed_ = 0;  // the inode at the path, if it is this process's
-    bool gave_way_ = false, accepting_ = false, stopped_ = false;
+    std::uint64_t own_inode_ = 0;  // of this process's socket at the path; 0: none
+    bool handing_over_ = false, accepting_ = false, stopped_ = false;
 };
 
 }  // namespace nettlestall::net
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -4,17 +4,17 @@
 
 namespace nettlestall::net {
 
-std::string figures(const calls::Gatekeeper& gatekeeper, const Counters& counters) {
+std::string metrics(const calls::Gatekeeper& gatekeeper, const Counters& counters) {
     std::string text;
     const auto line = [&text](std::string_view name, std::uint64_t value, char kind) {
         text.append("app.").append(name).append(":").append(std::to_string(value)).append("|");
         text.append(1, kind).append("\n");
     };
     for (const calls::Gatekeeper::Replies& replies : gatekeeper.replies()) {
-        const std::string of = "replies." + replies.service_class;
-        line(of + ".success", replies.served, 'c');
-        line(of + ".overload", replies.refused, 'c');
-        line(of + ".error", replies.failed, 'c');
+        const std::string prefix = "replies." + replies.service_class;
+        line(prefix + ".success", replies.served, 'c');
+        line(prefix + ".overload", replies.refused, 'c');
+        line(prefix + ".error", replies.failed, 'c');
     }
     line("dispatches", counters.set_ups_written, 'c');
     line("concurrent", gatekeeper.calls(), 'g');
@@ -23,9 +23,9 @@
     return text;
 }
 
-std::string oldest_calls(const calls::Gatekeeper& gatekeeper, std::size_t most) {
+std::string oldest_calls(const calls::Gatekeeper& gatekeeper, std::size_t max_calls) {
     std::string text = "call at seconds\n";
-    for (const calls::Gatekeeper::OldCall& old : gatekeeper.oldest(most))
+    for (const calls::Gatekeeper::OldCall& old : gatekeeper.oldest(max_calls))
         text += old.call + ' ' + old.at + ' ' +
                 std::to_string(std::chrono::duration_cast<std::chrono::seconds>(old.age).count()) + '\n';
     return text;
--- a/src/net/metrics.hpp
+++ b/src/net/metrics.hpp
@@ -1,5 +1,4 @@
-// The figures that operators read, one a line: name:value|kind, with c for counts since the start and g for
-// what is so now.
+// The texts for operators that come from the call table: metrics and the oldest standing calls.
 #pragma once
 
 #include <string>
@@ -8,9 +7,11 @@
 
 namespace nettlestall::net {
 
-// A line for each: the call, where it stands, and for how many seconds.
-std::string oldest_calls(const calls::Gatekeeper& gatekeeper, std::size_t most);
+// A header line, then a line for each of the `max_calls` oldest standing calls: the call, the exchange that
+// it is at, and its age in seconds.
+std::string oldest_calls(const calls::Gatekeeper& gatekeeper, std::size_t max_calls);
 
-std::string figures(const calls::Gatekeeper& gatekeeper, const Counters& counters);
+// A line for each metric: name:value|kind. Kind c is a count since the start, g a current value.
+std::string metrics(const calls::Gatekeeper& gatekeeper, const Counters& counters);
 
 }  // namespace nettlestall::net
--- a/src/net/operators.cpp
+++ b/src/net/operators.cpp
@@ -7,15 +7,17 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kAcceptPause{20};  // after an error such as too many descriptors
-constexpr milliseconds kWholeCall{5000};  // from its connection to its reply, and to the far end's close
-constexpr std::size_t kPassedOver = 1024;
+constexpr milliseconds kAcceptRetryPause{20};  // after an error such as too many descriptors
+constexpr milliseconds kMaxRequestTime{
+    5000};  // from the connection until the far end closes it after the reply
+constexpr std::size_t kDiscardBufferBytes = 1024;
 
 }  // namespace
 
-struct Operators::Call {
-    Call(tcp::socket with, protocol::OperatorEvents& events)
-        : socket(std::move(with)), session(events), deadline(socket.get_executor(), kWholeCall) {}
+// One connection and its request; its coroutine keeps it alive.
+struct OperatorServer::Request {
+    Request(tcp::socket accepted, protocol::OperatorEvents& events)
+        : socket(std::move(accepted)), session(events), deadline(socket.get_executor(), kMaxRequestTime) {}
 
     void close() {
         boost::system::error_code ignored;
@@ -27,8 +29,8 @@
     asio::steady_timer deadline;
 };
 
-Operators::Operators(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
-                     Counters& counters)
+OperatorServer::OperatorServer(asio::io_context& io, const tcp::endpoint& listen,
+                               protocol::OperatorEvents& events, Counters& counters)
     : acceptor_(io), events_(events), counters_(counters) {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -36,64 +38,66 @@
     acceptor_.listen(128);
 }
 
-Operators::~Operators() = default;
+OperatorServer::~OperatorServer() = default;
 
-void Operators::start() {
+void OperatorServer::start() {
     spawn(acceptor_.get_executor(), accept());
 }
 
-void Operators::stop() {
+void OperatorServer::stop() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
 }
 
-asio::awaitable<void> Operators::accept() {
+asio::awaitable<void> OperatorServer::accept() {
     asio::steady_timer pause(acceptor_.get_executor());
     while (acceptor_.is_open()) {
         auto [error, socket] = co_await acceptor_.async_accept(asio::as_tuple(asio::use_awaitable));
         if (error) {
-            pause.expires_after(kAcceptPause);
+            pause.expires_after(kAcceptRetryPause);
             co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
             continue;
         }
-        // Guards against callers that hold a connection and ask for nothing: the oldest, which has had the
-        // longest to ask, makes room for one that may.
-        open_.remove_if([](const auto& call) { return call.expired(); });
-        if (open_.size() >= kMostCalls) {
+        // Connections that never send a request must not keep operators out: the oldest, which has had the
+        // most time to send one, is closed for the new one.
+        requests_.remove_if([](const auto& request) { return request.expired(); });
+        if (requests_.size() >= kMaxRequests) {
             ++counters_.operator_calls_displaced;
-            if (const auto oldest = open_.front().lock()) oldest->close();
-            open_.pop_front();
+            if (const auto oldest = requests_.front().lock()) oldest->close();
+            requests_.pop_front();
         }
         ++counters_.operator_calls;
-        auto call = std::make_shared<Call>(std::move(socket), events_);
-        open_.push_back(call);
-        spawn(acceptor_.get_executor(), serve(std::move(call), counters_));
+        auto request = std::make_shared<Request>(std::move(socket), events_);
+        requests_.push_back(request);
+        spawn(acceptor_.get_executor(), serve(std::move(request), counters_));
     }
 }
 
-asio::awaitable<void> Operators::serve(std::shared_ptr<Call> call, Counters& counters) {
-    call->deadline.async_wait([held = std::weak_ptr(call)](const boost::system::error_code& stopped) {
-        if (const auto late = held.lock(); late && !stopped) late->close();
+// Serves one operator's request: reads it, writes the reply and reads on until the operator closes the
+// connection. Ended early by the time limit, by accept() for a newer connection and by any error.
+asio::awaitable<void> OperatorServer::serve(std::shared_ptr<Request> request, Counters& counters) {
+    request->deadline.async_wait([weak = std::weak_ptr(request)](const boost::system::error_code& cancelled) {
+        if (const auto late = weak.lock(); late && !cancelled) late->close();
     });
     for (bool more = true; more;) {
-        const auto space = call->session.space();
-        const auto [error, bytes] = co_await call->socket.async_read_some(
+        const auto space = request->session.space();
+        const auto [error, bytes] = co_await request->socket.async_read_some(
             asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
-        if (error || !call->socket.is_open()) co_return;
-        more = call->session.fed(bytes);
+        if (error || !request->socket.is_open()) co_return;
+        more = request->session.fed(bytes);
     }
     const auto [error, written] = co_await asio::async_write(
-        call->socket, asio::buffer(call->session.reply()), asio::as_tuple(asio::use_awaitable));
+        request->socket, asio::buffer(request->session.reply()), asio::as_tuple(asio::use_awaitable));
     if (error) co_return;
     ++counters.operator_calls_answered;
-    // Guards against a reply lost to a reset: bytes that nobody has read would bring one.
+    // Closing a socket with unread bytes sends a TCP reset, which could destroy the reply before it is read.
     boost::system::error_code ignored;
-    call->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    std::array<char, kPassedOver> passed_over;
+    request->socket.shutdown(tcp::socket::shutdown_send, ignored);
+    std::array<char, kDiscardBufferBytes> discarded;
     for (;;) {
-        const auto [broken, bytes] = co_await call->socket.async_read_some(
-            asio::buffer(passed_over), asio::as_tuple(asio::use_awaitable));
-        if (broken || !call->socket.is_open()) co_return;
+        const auto [read_error, discarded_bytes] = co_await request->socket.async_read_some(
+            asio::buffer(discarded), asio::as_tuple(asio::use_awaitable));
+        if (read_error || !request->socket.is_open()) co_return;
     }
 }
 
--- a/src/net/operators.hpp
+++ b/src/net/operators.hpp
@@ -1,4 +1,5 @@
-// The operators' address: a listener of its own, and a thin driver for each call.
+// The operators' HTTP address: a listening socket and a coroutine for each connection, which carries one
+// request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,29 +12,31 @@
 
 namespace nettlestall::net {
 
-class Operators {
+// Accepts operators' connections, reads one request from each into a protocol::OperatorSession and writes its
+// reply. Closes a connection 5 s after it came up, or when it is the oldest and another one needs its place.
+class OperatorServer {
    public:
-    // Descriptors that the operators' calls may hold together, the listener's own not counted.
-    static constexpr std::size_t kMostCalls = 16;
+    // Connections open at the same time, each of which holds a descriptor.
+    static constexpr std::size_t kMaxRequests = 16;
 
     // Listens at once; throws boost::system::system_error if it cannot.
-    Operators(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
-              Counters& counters);
-    ~Operators();
+    OperatorServer(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
+                   Counters& counters);
+    ~OperatorServer();
 
-    void start();
-    void stop();
+    void start();  // accepts from now on
+    void stop();   // accepts no further connections
 
    private:
-    struct Call;
+    struct Request;
 
     asio::awaitable<void> accept();
-    static asio::awaitable<void> serve(std::shared_ptr<Call> call, Counters& counters);
+    static asio::awaitable<void> serve(std::shared_ptr<Request> request, Counters& counters);
 
     tcp::acceptor acceptor_;
     protocol::OperatorEvents& events_;
     Counters& counters_;
-    std::list<std::weak_ptr<Call>> open_;  // the oldest first; each is held by its coroutine
+    std::list<std::weak_ptr<Request>> requests_;  // the oldest first; each is held by its coroutine
 };
 
 }  // namespace nettlestall::net
--- a/src/net/switches.cpp
+++ b/src/net/switches.cpp
@@ -11,213 +11,230 @@
 using Clock = std::chrono::steady_clock;
 using protocol::SwitchSession;
 
-constexpr Duration kFirstPause = std::chrono::milliseconds(50);  // until it is dialled again, doubling
-constexpr Duration kWatch = std::chrono::milliseconds(50);
-constexpr int kSilence = 4;  // connect time-outs, until a further connection is tried
-constexpr int kCutOff = 13;  // connect time-outs without a word while dials time out, until calls are cut
-constexpr Duration kLeastPause = std::chrono::milliseconds(5);  // even where set-ups wait for it
+// Between dials; doubles up to the connect time-out.
+constexpr Duration kMinReconnectPause = std::chrono::milliseconds(50);
+// The same while set-ups wait for a connection.
+constexpr Duration kReconnectPauseWithSetUps = std::chrono::milliseconds(5);
+constexpr Duration kConnectionCheckInterval = std::chrono::milliseconds(50);
+// In connect time-outs: silence after which a second connection is tried.
+constexpr int kSilenceInTimeOuts = 4;
+// In connect time-outs: silence, while dials time out, after which the switch counts as dead and its calls
+// are cut.
+constexpr int kDeadInTimeOuts = 13;
 
 }  // namespace
 
-// One carrier switch. It outlives its place in the list while its coroutine runs, and is silent then.
+// One carrier switch of the list. Its coroutines keep it alive after it was removed from the list; it is
+// stopped then and reports nothing.
 class SwitchConnections::Peer final : public std::enable_shared_from_this<Peer>, public SwitchEvents {
    public:
     Peer(asio::io_context& io, ExchangeId id, std::string address, Duration connect_time_out,
          SwitchEvents& events, Counters& counters)
         : io_(io),
-          pause_(io),
+          timer_(io),
           id_(std::move(id)),
           address_(std::move(address)),
-          time_out_(connect_time_out),
+          connect_time_out_(connect_time_out),
           events_(events),
           counters_(counters) {}
 
     const std::string& address() const { return address_; }
-    void use_connect_time_out(Duration time_out) { time_out_ = time_out; }
-    bool idle() const { return !connection_ || connection_->idle(); }
+    void set_connect_time_out(Duration time_out) { connect_time_out_ = time_out; }
+    bool is_idle() const { return !connection_ || connection_->is_idle(); }
 
     void start() { spawn(io_, run(shared_from_this())); }
 
     void stop() {
         stopped_ = true;
-        pause_.cancel();
+        timer_.cancel();
         for (const auto& connection : {connection_, previous_})
             if (connection) connection->close();
-        lose_waiting(Outcome::unreachable);
-        lose_out(nullptr);
+        fail_waiting(Outcome::unreachable);
+        fail_unanswered(nullptr);
     }
 
     void set_up(const Forward& forward) {
-        used_ = true;
-        if (connection_ && connection_->open()) return put_out(forward.call, SwitchSession::set_up(forward));
+        has_sent_set_ups_ = true;
+        if (connection_ && connection_->is_open())
+            return send_set_up(forward.call, SwitchSession::set_up(forward));
         waiting_.emplace_back(forward.call, SwitchSession::set_up(forward));
-        pause_.cancel();  // dialled at once
+        timer_.cancel();  // dials at once
     }
 
-    // On the connection of its set-up; where that is closed, it has been given up with it.
+    // Sent on the connection of the set-up. If that is closed, the set-up has failed with it already.
     void give_up(const CallId& call) {
         std::erase_if(waiting_, [&](const auto& w) { return w.first == call; });
-        const auto at = out_.find(call);
-        if (at == out_.end()) return;
+        const auto at = unanswered_.find(call);
+        if (at == unanswered_.end()) return;
         at->second->send(SwitchSession::release(call));
-        out_.erase(at);
+        unanswered_.erase(at);
     }
 
-    // Without a connection it waits for the next: the call may stand there.
+    // Without a connection the release waits for the next one, as the call may be connected at the switch.
     void release(const CallId& call) {
-        if (connection_ && connection_->open()) return connection_->send(SwitchSession::release(call));
-        if (releases_.size() < kMostReleases) releases_.push_back(call);
+        if (connection_ && connection_->is_open()) return connection_->send(SwitchSession::release(call));
+        if (pending_releases_.size() < kMaxPendingReleases) pending_releases_.push_back(call);
     }
 
-    // Set-ups that no connection came up for: they never ran.
-    void lose_waiting(Outcome outcome) {
+    // Ends the set-ups that wait for a connection; they were never sent.
+    void fail_waiting(Outcome outcome) {
         for (const auto& [call, frame] : std::exchange(waiting_, {}))
             events_.ended(id_, call, outcome, Cause::none, {});
     }
 
     void stands(const ExchangeId& at, const CallId& call, std::string_view description) override {
-        out_.erase(call);
+        unanswered_.erase(call);
         events_.stands(at, call, description);
     }
     void ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
                const LoadReport& load) override {
-        out_.erase(call);
+        unanswered_.erase(call);
         events_.ended(at, call, outcome, cause, load);
     }
     void group_state(const ExchangeId& at, const LoadReport& load) override { events_.group_state(at, load); }
     void process_dead(const ExchangeId& at) override { events_.process_dead(at); }
 
    private:
-    struct Line {  // what comes on one connection
+    struct Reader {  // the reading state of one connection
         SwitchSession session;
-        HalfMessage half;
+        PartialMessage partial;
     };
 
-    static constexpr std::size_t kMostReleases = 4096;
+    static constexpr std::size_t kMaxPendingReleases = 4096;  // further ones are dropped
 
-    void put_out(const CallId& call, protocol::Frame frame) {
-        if (!asked_) asked_ = Clock::now();
-        out_[call] = connection_;
+    void send_set_up(const CallId& call, protocol::Frame frame) {
+        if (!first_set_up_since_read_) first_set_up_since_read_ = Clock::now();
+        unanswered_[call] = connection_;
         connection_->send(std::move(frame));
     }
 
-    // What is out on a connection that has gone, or on any, is given up with it. Should the call stand there,
-    // its answer lost on the way, it is released on the next connection: it would hold circuits for nobody.
-    void lose_out(const std::shared_ptr<Connection>& connection) {
+    // Ends the unanswered set-ups of a closed connection, or of all if it is null. Each is also released on
+    // the next connection: if its answer was lost, the call would hold circuits at the switch that nobody
+    // uses.
+    void fail_unanswered(const std::shared_ptr<Connection>& connection) {
         std::vector<CallId> lost;
-        for (const auto& [call, on] : out_)
+        for (const auto& [call, on] : unanswered_)
             if (!connection || on == connection) lost.push_back(call);
         for (const CallId& call : lost) {
-            out_.erase(call);
+            unanswered_.erase(call);
             release(call);
             events_.ended(id_, call, Outcome::reset, Cause::none, {});
         }
     }
 
-    // Holds the peer: the list may have dropped it by the time that this starts.
-    static asio::awaitable<void> run(std::shared_ptr<Peer> self) { co_await self->keep_up(); }
+    // Keeps the peer alive: the list may have removed it before the coroutine starts.
+    static asio::awaitable<void> run(std::shared_ptr<Peer> self) { co_await self->keep_connected(); }
 
-    asio::awaitable<void> keep_up() {
+    // Serves one carrier switch until stop(): dials it while there is no connection, or only a silent one,
+    // and closes connections on which a message has stopped half-way.
+    asio::awaitable<void> keep_connected() {
         const auto to = to_endpoint(address_);
-        Duration pause = kFirstPause;
-        bool had = false;  // a connection, since the process was last known to live
+        Duration pause = kMinReconnectPause;
+        bool was_connected = false;  // since the start, or since the process was reported dead
         while (!stopped_) {
-            close_halted();
-            if (connection_ && !silent()) {
-                pause_.expires_after(kWatch);
-                co_await pause_.async_wait(asio::as_tuple(asio::use_awaitable));
+            close_stalled();
+            if (connection_ && !is_silent()) {
+                timer_.expires_after(kConnectionCheckInterval);
+                co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
                 continue;
             }
             tcp::socket socket(io_);
             boost::system::error_code error = asio::error::invalid_argument;
-            if (to) error = co_await connect(socket, *to, time_out_);
+            if (to) error = co_await connect(socket, *to, connect_time_out_);
             if (stopped_) co_return;
             if (!error) {
-                had = true;
-                pause = kFirstPause;
-                adopt(std::move(socket));
+                was_connected = true;
+                pause = kMinReconnectPause;
+                use_connection(std::move(socket));
             } else {
-                lose_waiting(Outcome::unreachable);
-                // Refused after it was there: no process listens, so the one that held the calls is gone.
+                fail_waiting(Outcome::unreachable);
+                // Refused after a connection had been up: no process listens, so the process that had the
+                // calls is gone.
                 bool dead = error == asio::error::connection_refused;
-                // Guards against calls that stand for ever over a cut link: nothing can tell that they were
-                // dropped. Neither an old connection nor a new one speaks for so long that they must be.
-                if (error == asio::error::timed_out) dead = Clock::now() - heard_ >= kCutOff * time_out_;
-                if (dead && std::exchange(had, false)) events_.process_dead(id_);
+                // Over a cut link no release arrives, and calls would be counted as standing for ever. After
+                // such a long silence on old and new connections the switch must have dropped them.
+                if (error == asio::error::timed_out)
+                    dead = Clock::now() - last_read_ >= kDeadInTimeOuts * connect_time_out_;
+                if (dead && std::exchange(was_connected, false)) events_.process_dead(id_);
             }
-            // Also after a connection that came up: guards against a far end that closes each at once.
-            pause_.expires_after(waiting_.empty() ? pause : kLeastPause);
-            pause = std::min(2 * pause, time_out_);
-            co_await pause_.async_wait(asio::as_tuple(asio::use_awaitable));
+            // Pauses after a successful dial too, since the far end may close each connection at once.
+            timer_.expires_after(waiting_.empty() ? pause : kReconnectPauseWithSetUps);
+            pause = std::min(2 * pause, connect_time_out_);
+            co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
         }
     }
 
-    // Nothing at all has come since the first of those set-ups that may still have an answer, or for long. A
-    // further connection finds out whether it is the connection or the machine that says nothing.
-    bool silent() const {
+    // Whether nothing has come for a connect time-out after a set-up was sent, or for kSilenceInTimeOuts of
+    // them if the switch was ever used. A second connection then finds out whether the connection is broken
+    // or the machine is silent.
+    bool is_silent() const {
         const auto now = Clock::now();
-        return (asked_ && now - *asked_ >= time_out_) || (used_ && now - heard_ >= kSilence * time_out_);
+        return (first_set_up_since_read_ && now - *first_set_up_since_read_ >= connect_time_out_) ||
+               (has_sent_set_ups_ && now - last_read_ >= kSilenceInTimeOuts * connect_time_out_);
     }
 
-    // Guards against a connection on which a message has stopped short: whatever is set up there would wait
-    // for an answer behind one that never ends. May harm where a lost packet is all that is missing: what is
-    // out there comes again on the next connection.
-    void close_halted() {
+    // Closes connections on which a message has stopped half-way, since answers to further set-ups would wait
+    // behind it for ever. If only a lost packet was late, this closes a working connection, and the set-ups
+    // on it are repeated on the next one.
+    void close_stalled() {
         const auto now = Clock::now();
-        for (const auto& [connection, line] : lines_)
-            if (line->half.older_than(time_out_ / 2, line->session, now)) connection->close();
+        for (const auto& [connection, reader] : readers_)
+            if (reader->partial.is_older_than(connect_time_out_ / 2, reader->session, now))
+                connection->close();
     }
 
-    // The new connection serves from now on. One that fell silent is read on until the next takes its place:
-    // what is set up on it may still be answered there.
-    void adopt(tcp::socket socket) {
+    // Sends on the new connection from now on. The previous one, which is silent, is read until the next is
+    // replaced in turn, as its set-ups may still be answered there.
+    void use_connection(tcp::socket socket) {
         ++counters_.switch_connections;
         if (previous_) previous_->close();
         previous_ = std::exchange(connection_, std::make_shared<Connection>(std::move(socket), counters_));
-        heard_ = Clock::now();
-        asked_.reset();
-        for (const CallId& call : std::exchange(releases_, {}))
+        last_read_ = Clock::now();
+        first_set_up_since_read_.reset();
+        for (const CallId& call : std::exchange(pending_releases_, {}))
             connection_->send(SwitchSession::release(call));
-        for (auto& [call, frame] : std::exchange(waiting_, {})) put_out(call, std::move(frame));
-        spawn(io_, converse(shared_from_this(), connection_));
+        for (auto& [call, frame] : std::exchange(waiting_, {})) send_set_up(call, std::move(frame));
+        spawn(io_, read_messages(shared_from_this(), connection_));
     }
 
-    static asio::awaitable<void> converse(std::shared_ptr<Peer> self,
-                                          std::shared_ptr<Connection> connection) {
-        Line line{SwitchSession(self->id_, *self, self->counters_), {}};
-        self->lines_[connection] = &line;
-        co_await connection->read_into(line.session, [&] {
-            self->heard_ = Clock::now();
-            self->asked_.reset();
-            line.half.heard(line.session, self->heard_);
+    // Reads one connection to a carrier switch until the switch closes it, a message is malformed,
+    // close_stalled() or a later connection closes it, or the peer is stopped.
+    static asio::awaitable<void> read_messages(std::shared_ptr<Peer> self,
+                                               std::shared_ptr<Connection> connection) {
+        Reader reader{SwitchSession(self->id_, *self, self->counters_), {}};
+        self->readers_[connection] = &reader;
+        co_await connection->read_into(reader.session, [&] {
+            self->last_read_ = Clock::now();
+            self->first_set_up_since_read_.reset();
+            reader.partial.on_read(reader.session, self->last_read_);
         });
-        self->lines_.erase(connection);
+        self->readers_.erase(connection);
         connection->close();
         if (self->stopped_) co_return;
         ++self->counters_.switch_connections_lost;
         if (connection == self->previous_) self->previous_ = nullptr;
         if (connection == self->connection_) {
             self->connection_ = nullptr;
-            self->pause_.cancel();
+            self->timer_.cancel();
         }
-        self->lose_out(connection);
+        self->fail_unanswered(connection);
     }
 
     asio::io_context& io_;
-    asio::steady_timer pause_;
+    asio::steady_timer timer_;
     ExchangeId id_;
     std::string address_;
-    Duration time_out_;
+    Duration connect_time_out_;
     SwitchEvents& events_;
     Counters& counters_;
     std::shared_ptr<Connection> connection_, previous_;
-    std::map<std::shared_ptr<Connection>, Line*> lines_;  // owned by the coroutines that read them
-    std::optional<Clock::time_point> asked_;              // the first set-up since anything came
-    Clock::time_point heard_{};                           // the last that came on any connection
-    std::map<CallId, std::shared_ptr<Connection>> out_;   // set-ups without an end, and where they went
-    bool used_ = false;  // something was set up there, so that its silence means something
-    std::vector<std::pair<CallId, protocol::Frame>> waiting_;  // set-ups for the next connection
-    std::vector<CallId> releases_;
+    std::map<std::shared_ptr<Connection>, Reader*> readers_;    // owned by their coroutines
+    std::optional<Clock::time_point> first_set_up_since_read_;  // when it was sent
+    Clock::time_point last_read_{};                             // on any connection
+    std::map<CallId, std::shared_ptr<Connection>> unanswered_;  // set-ups, and where they were sent
+    bool has_sent_set_ups_ = false;                             // a switch that was never used may be silent
+    std::vector<std::pair<CallId, protocol::Frame>> waiting_;   // set-ups for the next connection
+    std::vector<CallId> pending_releases_;
     bool stopped_ = false;
 };
 
@@ -226,40 +243,39 @@
 
 SwitchConnections::~SwitchConnections() = default;
 
-void SwitchConnections::list(const ListEvent& event) {
-    std::set<ExchangeId> named;
+void SwitchConnections::apply_list(const ListEvent& event) {
+    std::set<ExchangeId> listed;
     for (const auto& [entry, address] : event.entries) {
         if (entry.state == ExchangeState::gone) {
-            drop(entry.exchange);
+            remove(entry.exchange);
             continue;
         }
-        named.insert(entry.exchange);
+        listed.insert(entry.exchange);
         const auto at = peers_.find(entry.exchange);
         if (at != peers_.end() && at->second->address() == address) {
-            // Guards against a set-up that waits for a connection and is written long after the drain was
-            // told.
-            if (entry.state == ExchangeState::draining) at->second->lose_waiting(Outcome::not_sent);
+            // A set-up that waits for a connection must not be sent long after the drain was announced.
+            if (entry.state == ExchangeState::draining) at->second->fail_waiting(Outcome::not_sent);
             continue;
         }
-        drop(entry.exchange);
+        remove(entry.exchange);
         auto peer =
             std::make_shared<Peer>(io_, entry.exchange, address, connect_time_out_, *events_, counters_);
         peers_[entry.exchange] = peer;
         peer->start();
     }
     if (event.kind == ListKind::changes) return;
-    std::vector<ExchangeId> left;
+    std::vector<ExchangeId> missing;
     for (const auto& [id, peer] : peers_)
-        if (!named.count(id)) left.push_back(id);
-    for (const ExchangeId& id : left) drop(id);
+        if (!listed.count(id)) missing.push_back(id);
+    for (const ExchangeId& id : missing) remove(id);
 }
 
-void SwitchConnections::use_connect_time_out(Duration time_out) {
+void SwitchConnections::set_connect_time_out(Duration time_out) {
     connect_time_out_ = time_out;
-    for (const auto& [id, peer] : peers_) peer->use_connect_time_out(time_out);
+    for (const auto& [id, peer] : peers_) peer->set_connect_time_out(time_out);
 }
 
-void SwitchConnections::drop(const ExchangeId& id) {
+void SwitchConnections::remove(const ExchangeId& id) {
     const auto at = peers_.find(id);
     if (at == peers_.end()) return;
     const auto peer = at->second;
@@ -271,8 +287,8 @@
     for (const auto& [id, peer] : std::exchange(peers_, {})) peer->stop();
 }
 
-bool SwitchConnections::idle() const {
-    return std::all_of(peers_.begin(), peers_.end(), [](const auto& p) { return p.second->idle(); });
+bool SwitchConnections::is_idle() const {
+    return std::all_of(peers_.begin(), peers_.end(), [](const auto& p) { return p.second->is_idle(); });
 }
 
 void SwitchConnections::set_up(const ExchangeId& at, const Forward& forward) {
--- a/src/net/switches.hpp
+++ b/src/net/switches.hpp
@@ -1,4 +1,4 @@
-// The carrier switches: one connection to each that the list names, kept up and dialled again.
+// Connections to the carrier switches: one to each switch of the list, dialled again whenever it is lost.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,16 +10,23 @@
 
 namespace nettlestall::net {
 
+// Sends set-ups and releases to the carrier switches and reports what they answer. A set-up that arrives
+// while there is no connection waits for the next dial and fails if that fails. A set-up that is unanswered
+// when its connection closes fails with Outcome::reset and is released on the next connection.
 class SwitchConnections final : public Switches {
    public:
+    // `connect_time_out`: for a dial; the limits for silent connections are multiples of it.
     SwitchConnections(asio::io_context& io, Duration connect_time_out, Counters& counters);
     ~SwitchConnections();
 
+    // To be called before the first list.
     void report_to(SwitchEvents& events) { events_ = &events; }
-    void list(const ListEvent& event);
-    void use_connect_time_out(Duration time_out);
-    void stop();
-    bool idle() const;  // all that was to be written has been
+    // Connects to the switches that are new in the list or have a new address, and disconnects from those
+    // that are gone. Set-ups that wait for a switch that is now draining fail.
+    void apply_list(const ListEvent& event);
+    void set_connect_time_out(Duration time_out);
+    void stop();           // closes all connections; all unanswered set-ups fail
+    bool is_idle() const;  // everything queued has been written
 
     void set_up(const ExchangeId& at, const Forward& forward) override;
     void give_up(const ExchangeId& at, const CallId& call) override;
@@ -27,7 +34,7 @@
 
    private:
     class Peer;
-    void drop(const ExchangeId& id);
+    void remove(const ExchangeId& id);
 
     asio::io_context& io_;
     Duration connect_time_out_;
--- a/src/net/trunk_links.cpp
+++ b/src/net/trunk_links.cpp
@@ -11,38 +11,38 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kBeat{1000};     // a sign of life, and what was received
-constexpr milliseconds kSilence{3000};  // without any, the connection is given up
-constexpr milliseconds kHello{3000};    // for a new connection to say who it is
-constexpr milliseconds kConnect{1000};
-constexpr milliseconds kFirstPause{100}, kLongestPause{3000};  // between dials, doubling
-constexpr milliseconds kAcceptPause{20}, kListenPause{50};
-constexpr std::size_t kRead = 16 * 1024;
+constexpr milliseconds kHeartbeatInterval{1000};  // each also acknowledges what was received
+constexpr milliseconds kMaxSilence{3000};         // the link is closed after that; the log line names 3 s
+constexpr milliseconds kMaxHelloTime{3000};       // for a new connection to identify itself
+constexpr milliseconds kConnectTimeOut{1000};
+constexpr milliseconds kMinReconnectPause{100}, kMaxReconnectPause{3000};  // between dials, doubling
+constexpr milliseconds kAcceptRetryPause{20}, kListenRetryPause{50};
+constexpr std::size_t kReadBufferBytes = 16 * 1024;
 
 }  // namespace
 
-// One connection of a group.
+// One connection of a group. Bytes to send are collected while a write is under way.
 class TrunkLinks::Link : public std::enable_shared_from_this<Link> {
    public:
-    Link(tcp::socket socket, trunk::Front::Trunk& of) : trunk(of), socket_(std::move(socket)) {
-        set_up_socket(socket_);
+    Link(tcp::socket socket, trunk::Front::Trunk& group) : trunk(group), socket_(std::move(socket)) {
+        configure_socket(socket_);
     }
 
     trunk::Front::Trunk& trunk;
-    Clock::time_point heard = Clock::now();
+    Clock::time_point last_read = Clock::now();
 
     tcp::socket& socket() { return socket_; }
-    bool open() const { return socket_.is_open() && !ending_; }
-    bool idle() const { return !writing_; }
+    bool is_open() const { return socket_.is_open() && !closing_; }
+    bool is_idle() const { return !writing_; }
 
     void send(std::string bytes) {
-        if (bytes.empty() || !open()) return;
+        if (bytes.empty() || !is_open()) return;
         waiting_ += bytes;
         if (!std::exchange(writing_, true)) spawn(socket_.get_executor(), write(shared_from_this()));
     }
-    // Once what waits has been written.
-    void end() {
-        ending_ = true;
+    // Closes once the queued bytes are written; nothing more can be sent.
+    void close_after_writing() {
+        closing_ = true;
         if (!writing_) close();
     }
     void close() {
@@ -54,44 +54,44 @@
    private:
     static asio::awaitable<void> write(std::shared_ptr<Link> self) {
         while (!self->waiting_.empty() && self->socket_.is_open()) {
-            self->under_way_ = std::exchange(self->waiting_, {});
+            self->being_written_ = std::exchange(self->waiting_, {});
             const auto [error, bytes] = co_await asio::async_write(
-                self->socket_, asio::buffer(self->under_way_), asio::as_tuple(asio::use_awaitable));
+                self->socket_, asio::buffer(self->being_written_), asio::as_tuple(asio::use_awaitable));
             if (error) self->close();
         }
         self->writing_ = false;
-        if (self->ending_) self->close();
+        if (self->closing_) self->close();
     }
 
     tcp::socket socket_;
-    std::string waiting_, under_way_;
-    bool writing_ = false, ending_ = false;
+    std::string waiting_, being_written_;
+    bool writing_ = false, closing_ = false;
 };
 
 TrunkLinks::TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-                       trunk::Front::Time time, Note note)
+                       trunk::Front::Time time, Warn warn)
     : io_(io),
       front_(front),
       time_(std::move(time)),
-      note_(std::move(note)),
+      warn_(std::move(warn)),
       listen_(listen),
       acceptor_(io),
       alarm_(io),
-      beat_(io) {
-    front_.on_output([this](trunk::Front::Trunk& trunk) { flush(trunk); });
-    front_.on_schedule([this](Instant at) { arm(at); });
+      heartbeat_timer_(io) {
+    front_.on_output([this](trunk::Front::Trunk& trunk) { write_output(trunk); });
+    front_.on_schedule([this](Instant at) { schedule(at); });
 }
 
 TrunkLinks::~TrunkLinks() = default;
 
-void TrunkLinks::dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
+void TrunkLinks::add_dialled(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
     dialled_.push_back({&trunk, to});
 }
 
 void TrunkLinks::start() {
     if (listen_) spawn(io_, accept());
-    for (const Dialled& dialled : dialled_) spawn(io_, keep_up(dialled));
-    spawn(io_, beat());
+    for (const Dialled& dialled : dialled_) spawn(io_, keep_connected(dialled));
+    spawn(io_, send_heartbeats());
 }
 
 void TrunkLinks::stop() {
@@ -99,15 +99,15 @@
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     alarm_.cancel();
-    beat_.cancel();
+    heartbeat_timer_.cancel();
     for (const auto& [trunk, link] : std::exchange(links_, {})) {
         link->close();
         trunk->disconnected();
     }
 }
 
-bool TrunkLinks::idle() const {
-    return std::all_of(links_.begin(), links_.end(), [](const auto& at) { return at.second->idle(); });
+bool TrunkLinks::is_idle() const {
+    return std::all_of(links_.begin(), links_.end(), [](const auto& at) { return at.second->is_idle(); });
 }
 
 // ---- Connections -------------------------------------------------------------------------------------
@@ -125,160 +125,169 @@
     return true;
 }
 
+// Listens and accepts connections of far hubs until stop().
 asio::awaitable<void> TrunkLinks::accept() {
     asio::steady_timer pause(io_);
-    for (bool told = false; !stopped_ && !listen(); told = true) {
-        if (!told) note_("the trunk address is in use, it is tried again");
-        pause.expires_after(kListenPause);
+    for (bool warned = false; !stopped_ && !listen(); warned = true) {
+        if (!warned) warn_("the trunk address is in use, trying again");
+        pause.expires_after(kListenRetryPause);
         co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     while (!stopped_) {
         auto [error, socket] = co_await acceptor_.async_accept(asio::as_tuple(asio::use_awaitable));
         if (stopped_) co_return;
         if (error) {
-            pause.expires_after(kAcceptPause);
+            pause.expires_after(kAcceptRetryPause);
             co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
             continue;
         }
-        unknown_.remove_if([](const auto& known) { return known.expired(); });
-        if (unknown_.size() >= kMostUnknown) {
+        unidentified_.remove_if([](const auto& known) { return known.expired(); });
+        if (unidentified_.size() >= kMaxUnidentified) {
             boost::system::error_code ignored;
-            if (const auto oldest = unknown_.front().lock()) oldest->close(ignored);
-            unknown_.pop_front();
+            if (const auto oldest = unidentified_.front().lock()) oldest->close(ignored);
+            unidentified_.pop_front();
         }
-        auto held = std::make_shared<tcp::socket>(std::move(socket));
-        unknown_.push_back(held);
-        spawn(io_, greet(std::move(held)));
+        auto shared = std::make_shared<tcp::socket>(std::move(socket));
+        unidentified_.push_back(shared);
+        spawn(io_, identify(std::move(shared)));
     }
 }
 
-// Reads until the far end has said which group it is of. Only then, and only if all agrees, does it take the
-// place of the connection that the group has: guards a link that works against whoever else connects.
-asio::awaitable<void> TrunkLinks::greet(std::shared_ptr<tcp::socket> socket) {
-    asio::steady_timer limit(io_, kHello);
-    limit.async_wait([held = std::weak_ptr(socket)](const boost::system::error_code& stopped) {
+// Serves an accepted connection: reads the far end's hello and then serves the link. Only after a hello that
+// names a known group and agrees with its settings does the connection replace the group's present one, so
+// that nobody else who connects can cut a working link. Closed without a hello in time, or after a Bye with
+// the reason if it differs.
+asio::awaitable<void> TrunkLinks::identify(std::shared_ptr<tcp::socket> socket) {
+    asio::steady_timer limit(io_, kMaxHelloTime);
+    limit.async_wait([weak = std::weak_ptr(socket)](const boost::system::error_code& cancelled) {
         boost::system::error_code ignored;
-        if (const auto late = held.lock(); late && !stopped) late->close(ignored);
+        if (const auto late = weak.lock(); late && !cancelled) late->close(ignored);
     });
-    std::string first;
-    std::array<char, 512> space;
+    std::string received;
+    std::array<char, 512> buffer;
     trunk::Frame frame;
     for (;;) {
         const auto [error, bytes] =
-            co_await socket->async_read_some(asio::buffer(space), asio::as_tuple(asio::use_awaitable));
+            co_await socket->async_read_some(asio::buffer(buffer), asio::as_tuple(asio::use_awaitable));
         if (error || stopped_ || !socket->is_open()) co_return;
-        first.append(space.data(), bytes);
+        received.append(buffer.data(), bytes);
         trunk::FrameReader reader;
-        reader.fed(first);
+        reader.fed(received);
         const auto next = reader.next(frame);
         if (next == trunk::FrameReader::Next::frame) break;
-        if (next == trunk::FrameReader::Next::malformed || first.size() > kRead) co_return;
+        if (next == trunk::FrameReader::Next::malformed || received.size() > kReadBufferBytes) co_return;
     }
     limit.cancel();
     const auto* hello = std::get_if<trunk::Hello>(&frame);
     trunk::Front::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
-    std::string wrong = !hello   ? "no hello"
-                        : !group ? "group " + std::to_string(hello->group) + " is not known here"
-                                 : group->session().wrong_with(*hello);
-    if (!wrong.empty()) {
-        note_("trunk connection refused: " + wrong);
-        const std::string bye = trunk::write(trunk::Bye{wrong.substr(0, trunk::kLongestName)});
+    std::string refusal = !hello   ? "no hello"
+                          : !group ? "group " + std::to_string(hello->group) + " is not known here"
+                                   : group->session().wrong_with(*hello);
+    if (!refusal.empty()) {
+        warn_("trunk connection refused: " + refusal);
+        const std::string bye = trunk::write(trunk::Bye{refusal.substr(0, trunk::kLongestName)});
         co_await asio::async_write(*socket, asio::buffer(bye), asio::as_tuple(asio::use_awaitable));
         co_return;
     }
     auto link = std::make_shared<Link>(std::move(*socket), *group);
     socket.reset();
-    co_await converse(std::move(link), std::move(first));
+    co_await read_messages(std::move(link), std::move(received));
 }
 
-asio::awaitable<void> TrunkLinks::keep_up(Dialled dialled) {
+// Dials one far hub until stop(), and serves each link until it is closed.
+asio::awaitable<void> TrunkLinks::keep_connected(Dialled dialled) {
     asio::steady_timer pause(io_);
-    milliseconds wait = kFirstPause;
+    milliseconds reconnect_pause = kMinReconnectPause;
     while (!stopped_) {
         tcp::socket socket(io_);
-        const auto error = co_await connect(socket, dialled.to, kConnect);
+        const auto error = co_await connect(socket, dialled.to, kConnectTimeOut);
         if (stopped_) co_return;
         if (!error) {
-            const std::uint64_t before =
+            const std::uint64_t links_before =
                 dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew;
-            co_await converse(std::make_shared<Link>(std::move(socket), *dialled.trunk), {});
+            co_await read_messages(std::make_shared<Link>(std::move(socket), *dialled.trunk), {});
             if (stopped_) co_return;
-            // Guards against a far end that takes connections and closes each at once.
-            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew > before)
-                wait = kFirstPause;
+            // The pause starts over only if the link came up: the far end may close each connection at once.
+            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew >
+                links_before)
+                reconnect_pause = kMinReconnectPause;
         }
-        pause.expires_after(wait);
+        pause.expires_after(reconnect_pause);
         co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
-        wait = std::min(2 * wait, kLongestPause);
+        reconnect_pause = std::min(2 * reconnect_pause, kMaxReconnectPause);
     }
 }
 
-asio::awaitable<void> TrunkLinks::converse(std::shared_ptr<Link> link, std::string first) {
-    if (const auto before = links_.find(&link->trunk); before != links_.end())
-        lose(before->second, "another connection takes its place");
+// Serves the link to one far hub until the far end closes it, a message is malformed or close_link() closes
+// it. `received`: bytes that were read already.
+asio::awaitable<void> TrunkLinks::read_messages(std::shared_ptr<Link> link, std::string received) {
+    if (const auto old = links_.find(&link->trunk); old != links_.end())
+        close_link(old->second, "another connection takes its place");
     links_[&link->trunk] = link;
     link->trunk.connected();
-    const auto take = [&](std::string_view bytes) {
+    const auto handle = [&](std::string_view bytes) {
         if (link->trunk.fed(bytes)) return true;
-        lose(link, link->trunk.session().complaint());
+        close_link(link, link->trunk.session().complaint());
         return false;
     };
-    if (!first.empty() && !take(first)) co_return;
-    std::array<char, kRead> space;
+    if (!received.empty() && !handle(received)) co_return;
+    std::array<char, kReadBufferBytes> buffer;
     for (;;) {
-        const auto [error, bytes] =
-            co_await link->socket().async_read_some(asio::buffer(space), asio::as_tuple(asio::use_awaitable));
+        const auto [error, bytes] = co_await link->socket().async_read_some(
+            asio::buffer(buffer), asio::as_tuple(asio::use_awaitable));
         const auto at = links_.find(&link->trunk);
-        if (stopped_ || at == links_.end() || at->second != link) co_return;  // it has lost its place
+        if (stopped_ || at == links_.end() || at->second != link) co_return;  // closed meanwhile
         if (error) {
-            lose(link, "the connection broke: " + error.message());
+            close_link(link, "the connection broke: " + error.message());
             co_return;
         }
-        link->heard = Clock::now();
-        if (!take({space.data(), bytes})) co_return;
+        link->last_read = Clock::now();
+        if (!handle({buffer.data(), bytes})) co_return;
     }
 }
 
-void TrunkLinks::lose(const std::shared_ptr<Link>& link, const std::string& why) {
+void TrunkLinks::close_link(const std::shared_ptr<Link>& link, const std::string& reason) {
     const auto at = links_.find(&link->trunk);
     if (at == links_.end() || at->second != link) return;
     links_.erase(at);
-    link->send(link->trunk.take_output());  // why it is closed
-    link->end();
+    link->send(link->trunk.take_output());  // the reason for closing, if the session gives one
+    link->close_after_writing();
     link->trunk.disconnected();
-    std::string text = "group " + std::to_string(link->trunk.settings().id) + ": link down, " + why;
-    if (std::exchange(last_note_[&link->trunk], text) != text) note_(text);
+    std::string text = "group " + std::to_string(link->trunk.settings().id) + ": link down, " + reason;
+    if (std::exchange(last_warning_[&link->trunk], text) != text) warn_(text);
 }
 
-void TrunkLinks::flush(trunk::Front::Trunk& trunk) {
+void TrunkLinks::write_output(trunk::Front::Trunk& trunk) {
     if (const auto at = links_.find(&trunk); at != links_.end()) at->second->send(trunk.take_output());
 }
 
 // ---- Time --------------------------------------------------------------------------------------------
 
-asio::awaitable<void> TrunkLinks::beat() {
+// Sends a heartbeat on each link and closes links on which nothing comes any more, until stop().
+asio::awaitable<void> TrunkLinks::send_heartbeats() {
     while (!stopped_) {
-        beat_.expires_after(kBeat);
-        co_await beat_.async_wait(asio::as_tuple(asio::use_awaitable));
+        heartbeat_timer_.expires_after(kHeartbeatInterval);
+        co_await heartbeat_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
         if (stopped_) co_return;
         std::vector<std::shared_ptr<Link>> all;
         for (const auto& [trunk, link] : links_) all.push_back(link);
         for (const auto& link : all) {
-            if (Clock::now() - link->heard >= kSilence)
-                lose(link, "nothing heard for 3 s");
+            if (Clock::now() - link->last_read >= kMaxSilence)
+                close_link(link, "nothing received for 3 s");
             else
                 link->trunk.beat();
         }
     }
 }
 
-void TrunkLinks::arm(Instant at) {
-    if (stopped_ || at >= armed_) return;
-    armed_ = at;
+// Sets the alarm to `at` if that is earlier than its present time.
+void TrunkLinks::schedule(Instant at) {
+    if (stopped_ || at >= scheduled_) return;
+    scheduled_ = at;
     alarm_.expires_after(std::max(Duration::zero(), at - time_()));
-    alarm_.async_wait([this](const boost::system::error_code& stopped) {
-        if (stopped || stopped_) return;
-        armed_ = Instant::max();
+    alarm_.async_wait([this](const boost::system::error_code& cancelled) {
+        if (cancelled || stopped_) return;
+        scheduled_ = Instant::max();
         front_.run_due();
     });
 }
--- a/src/net/trunk_links.hpp
+++ b/src/net/trunk_links.hpp
@@ -1,5 +1,6 @@
-// The links of the trunk signalling over TCP: one connection a group, dialled by the hub with the lower point
-// code, with backoff, and taken in by the other one. All that is decided is decided in src/trunk.
+// Trunk signalling over TCP: one connection (link) for each circuit group, dialled with back-off by the hub
+// with the lower point code and accepted by the other one. Moves bytes and time only; src/trunk makes all
+// decisions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,23 +17,29 @@
 
 namespace nettlestall::net {
 
+// Reads each link into its group's session, writes what the session puts out, sends heartbeats and wakes the
+// trunk front when its timers expire. Closes a link when the far end closes it or sends something malformed,
+// when nothing was received for 3 s, or when a new connection of the same group has identified itself.
 class TrunkLinks {
    public:
-    // Connections that have not said hello yet; at the bound the oldest makes room.
-    static constexpr std::size_t kMostUnknown = 16;
+    // Accepted connections that have not sent their hello yet; at the bound the oldest is closed.
+    static constexpr std::size_t kMaxUnidentified = 16;
 
-    using Note = std::function<void(const std::string&)>;
+    // Receives the text of a warning for the log.
+    using Warn = std::function<void(const std::string&)>;
 
+    // Without `listen` no connection is accepted. `time` is the clock of the trunk front.
     TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-               trunk::Front::Time time, Note note);
+               trunk::Front::Time time, Warn warn);
     ~TrunkLinks();
 
-    void dial(trunk::Front::Trunk& trunk, const tcp::endpoint& to);
-    // Listens if it is to. While the address is in use it tries again, as the process before this one may
-    // still have it; anything else throws boost::system::system_error.
+    // A group whose far end this hub dials, from start() on.
+    void add_dialled(trunk::Front::Trunk& trunk, const tcp::endpoint& to);
+    // Listens and dials. While the address is in use, listening is tried again, as a predecessor process may
+    // still have it; any other error throws boost::system::system_error out of the event loop.
     void start();
-    void stop();
-    bool idle() const;  // all that was to be written has been
+    void stop();           // closes all links
+    bool is_idle() const;  // everything queued has been written
 
    private:
     class Link;
@@ -41,28 +48,28 @@
         tcp::endpoint to;
     };
 
-    bool listen();
+    bool listen();  // false: the address is in use
     asio::awaitable<void> accept();
-    asio::awaitable<void> greet(std::shared_ptr<tcp::socket> socket);
-    asio::awaitable<void> keep_up(Dialled dialled);
-    asio::awaitable<void> converse(std::shared_ptr<Link> link, std::string first);
-    asio::awaitable<void> beat();
-    void arm(Instant at);
-    void flush(trunk::Front::Trunk& trunk);
-    void lose(const std::shared_ptr<Link>& link, const std::string& why);
+    asio::awaitable<void> identify(std::shared_ptr<tcp::socket> socket);
+    asio::awaitable<void> keep_connected(Dialled dialled);
+    asio::awaitable<void> read_messages(std::shared_ptr<Link> link, std::string received);
+    asio::awaitable<void> send_heartbeats();
+    void schedule(Instant at);
+    void write_output(trunk::Front::Trunk& trunk);
+    void close_link(const std::shared_ptr<Link>& link, const std::string& reason);
 
     asio::io_context& io_;
     trunk::Front& front_;
     trunk::Front::Time time_;
-    Note note_;
+    Warn warn_;
     std::optional<tcp::endpoint> listen_;
     tcp::acceptor acceptor_;
-    asio::steady_timer alarm_, beat_;
-    Instant armed_ = Instant::max();
+    asio::steady_timer alarm_, heartbeat_timer_;
+    Instant scheduled_ = Instant::max();  // when alarm_ expires; max: not set
     std::vector<Dialled> dialled_;
     std::map<trunk::Front::Trunk*, std::shared_ptr<Link>> links_;
-    std::list<std::weak_ptr<tcp::socket>> unknown_;  // the oldest first
-    std::map<trunk::Front::Trunk*, std::string> last_note_;
+    std::list<std::weak_ptr<tcp::socket>> unidentified_;        // the oldest first
+    std::map<trunk::Front::Trunk*, std::string> last_warning_;  // the same one is not logged twice in a row
     bool stopped_ = false;
 };
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -26,16 +26,18 @@
 using namespace std::chrono_literals;
 namespace asio = boost::asio;
 
-constexpr std::size_t kSpareSockets = 96;  // for the carrier switches, the feed and the process's own files
-constexpr Duration kServeOn = 800ms;       // after SIGTERM: callers go on for up to 0.6 s
-constexpr Duration kLastWrites = 100ms;    // for what is refused at the end of that time
-constexpr Duration kFeedSpeaks = 4500ms;   // a new process waits for it no longer
-constexpr Duration kStopTick = 20ms;
-constexpr std::size_t kCallTakes = 800;  // bytes of a call in the table and the module, as measured: 750
-constexpr std::size_t kOldestShown = 20;
-constexpr int kNotes = 100;  // lines of the module that are logged
+// Descriptors that callers cannot use: for the carrier switches, the feed and the process's own files.
+constexpr std::size_t kReservedSockets = 96;
+// After SIGTERM callers keep sending set-ups for up to 0.6 s.
+constexpr Duration kMinServiceAfterStop = 800ms;
+constexpr Duration kFinalWriteTime = 100ms;  // for writing the refusals at the end of the service
+constexpr Duration kMaxFeedWait = 4500ms;    // a successor process takes over without the feed after that
+constexpr Duration kStopCheckInterval = 20ms;
+constexpr std::size_t kBytesPerCall = 800;   // in the call table and the decision module: 750, rounded up
+constexpr std::size_t kMaxOldestCalls = 20;  // in a reply to operators
+constexpr int kMaxLoggedNotes = 100;         // of the decision module, in the life of the process
 
-// Unix time that never runs back: the system's clock is looked at once.
+// Unix time that never runs backwards: reads the system's clock once and adds monotonic time.
 class UnixClock {
    public:
     Instant now() const {
@@ -48,7 +50,8 @@
         std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 };
 
-// The names of the addresses are looked up nowhere, so they must be numeric.
+// Reads the configuration. Host names are not resolved, so all addresses must be numeric. Throws
+// json::BadInput.
 config::Config load() {
     config::Config config = config::load();
     if (!net::to_endpoint(config.listen)) json::bad_key("listen", "a numeric address:port");
@@ -59,6 +62,8 @@
     return config;
 }
 
+// Owns and joins all parts of the gatekeeper: the call table in the middle, around it the drivers of callers,
+// carrier switches, feed, operators and circuit groups, and the hand-over to and from other processes.
 class Program final : public protocol::OperatorEvents, public net::Handover::Process {
    public:
     Program(asio::io_context& io, const config::Config& config, std::string file_path,
@@ -70,69 +75,71 @@
           listen_(config.listen),
           time_to_end_(config.time_to_end()),
           time_to_end_superseded_(config.time_to_end_superseded()),
-          servers_(io, config.net.connect_time_out, counters_),
-          routes_(servers_),
+          switches_(io, config.net.connect_time_out, counters_),
+          routes_(switches_),
           gatekeeper_(
               config.settings, config.seed, [this] { return clock_.now(); }, routes_, counters_,
               bounds(config)),
-          clients_(io, most_clients(config), gatekeeper_, counters_),
+          callers_(io, max_callers(config), gatekeeper_, counters_),
           feed_(
               io, net::to_endpoint(config.feed), config.known,
-              [this](const ListEvent& event) { take(event); }, longest_line(config), counters_),
+              [this](const ListEvent& event) { apply(event); }, max_line_bytes(config), counters_),
           handover_(io, config.handover, *this, counters_),
-          most_clients_(most_clients(config)),
+          max_callers_(max_callers(config)),
           alarm_(io),
-          stop_tick_(io),
+          stop_timer_(io),
           signals_(io, SIGTERM, SIGINT, SIGUSR1) {
         signals_.add(SIGHUP);
         if (!config.operators.empty())
             operators_.emplace(io, *net::to_endpoint(config.operators), *this, counters_);
-        servers_.report_to(gatekeeper_);
-        gatekeeper_.on_schedule([this](Instant at) { arm(at); });
+        switches_.report_to(gatekeeper_);
+        gatekeeper_.on_schedule([this](Instant at) { schedule(at); });
         gatekeeper_.on_note([this](const std::string& text) {
-            if (++notes_ <= kNotes) log_.info("note: " + text);
+            if (++note_count_ <= kMaxLoggedNotes) log_.info("note: " + text);
         });
-        clients_.send_away_while([this] { return gatekeeper_.sends_away(); });
+        callers_.close_idle_while([this] { return gatekeeper_.sends_away(); });
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
-            for (const trunk::Front::Trunk* of : trunk_->front().trunks())
-                routes_.add(of->settings().exchange, trunk_->front());
+            for (const trunk::Front::Trunk* trunk : trunk_->front().trunks())
+                routes_.add(trunk->settings().exchange, trunk_->front());
         }
         bool first = true;
         for (ListEvent event : config.events) {
             if (!event.has_list) continue;
             if (std::exchange(first, false)) event.kind = ListKind::remembered;
-            take(event);
+            apply(event);
         }
         if (trunk_ && first)
-            take({.number = 0, .has_list = true, .kind = ListKind::remembered, .version = 0, .entries = {}});
-        net::spawn(io, watch_signals());
+            apply({.number = 0, .has_list = true, .kind = ListKind::remembered, .version = 0, .entries = {}});
+        net::spawn(io, handle_signals());
         feed_.start();
-        if (handover_.find_predecessor()) {
+        if (handover_.connect_to_predecessor()) {
             log_.info(name_ + ": another process serves, getting ready to take over");
         } else {
             take_over();
-            handover_.claim();
+            handover_.listen_for_successor();
         }
         if (operators_) operators_->start();
     }
 
-    void tell_counters() const {
+    void log_counters() const {
         std::ostringstream text;
         text << counters_;
         log_.info(text.str());
     }
 
-    bool ready() override { return in_charge_ && gatekeeper_.ready(); }
+    // ---- Operators' requests
+
+    bool ready() override { return serving_ && gatekeeper_.ready(); }
     std::string metrics() const override {
-        return net::figures(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
+        return net::metrics(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
     }
     std::optional<protocol::OperatorReply> other(std::string_view method, std::string_view path,
                                                  std::string_view query) override {
         if (path == "/calls/oldest") {
             if (method != "GET") return protocol::OperatorReply{405, "GET"};
-            return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kOldestShown)};
+            return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kMaxOldestCalls)};
         }
         if (!trunk_) return std::nullopt;
         return trunk_->desk().carry_out(method, path, query);
@@ -143,123 +150,128 @@
     }
     void undrain() override { gatekeeper_.undrain(); }
 
-    // ---- An upgrade, as the process that serves
+    // ---- Upgrade, as the predecessor
 
-    std::string list() const override {
-        ListEvent all{.number = feed_.last(),
+    std::string exchange_list() const override {
+        ListEvent all{.number = feed_.last_event(),
                       .has_list = true,
                       .kind = ListKind::complete,
-                      .version = version_,
+                      .version = list_version_,
                       .entries = {}};
-        for (const auto& [id, listed] : roster_) all.entries.push_back(listed);
+        for (const auto& [id, listed] : exchanges_) all.entries.push_back(listed);
         return protocol::write_list_event(all);
     }
-    int listener() override { return clients_.listener(); }
-    void give_way() override {
+    int listener_descriptor() override { return callers_.listener_descriptor(); }
+    void begin_handover() override {
         log_.info("another process takes over");
-        clients_.pause();
+        callers_.pause_accepting();
         if (trunk_) trunk_->retire();
         gatekeeper_.give_way_to(&handover_);
-        clients_.pass_on_by([this](int descriptor, bool has_asked, std::string begun) {
-            handover_.pass_caller(net::Descriptor(descriptor), has_asked, std::move(begun));
-            handover_.tell_remaining(clients_.open());
+        callers_.pass_connections_to([this](int descriptor, bool has_asked, std::string partial_message) {
+            handover_.pass_on_caller(net::Descriptor(descriptor), has_asked, std::move(partial_message));
+            handover_.report_remaining(callers_.connection_count());
         });
-        handover_.tell_remaining(clients_.open());
+        handover_.report_remaining(callers_.connection_count());
     }
-    void take_back() override {
+    void resume_service() override {
         log_.warning("the other process has gone");
         gatekeeper_.give_way_to(nullptr);
-        clients_.pass_on_by(nullptr);
-        clients_.resume();
+        callers_.pass_connections_to(nullptr);
+        callers_.resume_accepting();
     }
 
-    // ---- An upgrade, as the new process
+    // ---- Upgrade, as the successor
 
-    void take_listener(net::Descriptor listener) override { clients_.listen_on(listener.release()); }
-    void take_list(const std::string& line) override {
+    void use_listener(net::Descriptor listener) override { callers_.listen_on(listener.release()); }
+    void apply_list(const std::string& line) override {
         try {
             const ListEvent event = protocol::read_list_event(line);
-            feed_.catch_up(event.number, {event});
-        } catch (const json::BadInput& problem) {
-            log_.warning(std::string("list of the process before: ") + problem.what());
+            feed_.apply_events(event.number, {event});
+        } catch (const json::BadInput& error) {
+            log_.warning(std::string("the predecessor's list of exchanges is malformed: ") + error.what());
         }
     }
-    bool prepared() override {
-        return gatekeeper_.ready() && (feed_.has_spoken() || clock_.now() - started_ >= kFeedSpeaks);
+    bool is_prepared() override {
+        return gatekeeper_.ready() && (feed_.is_synchronized() || clock_.now() - started_ >= kMaxFeedWait);
     }
     void take_over() override {
-        if (clients_.listener() < 0) clients_.listen(*net::to_endpoint(listen_));
-        in_charge_ = true;
+        if (callers_.listener_descriptor() < 0) callers_.listen(*net::to_endpoint(listen_));
+        serving_ = true;
         if (trunk_) trunk_->start();
-        clients_.start();
+        callers_.start();
         log_.info(name_ + ": listening on " + listen_);
     }
-    void take_caller(net::Descriptor connection, bool has_asked, std::string_view begun) override {
-        clients_.adopt(connection.release(), has_asked, begun);
+    void add_caller_connection(net::Descriptor connection, bool has_asked,
+                               std::string_view partial_message) override {
+        callers_.take_over_connection(connection.release(), has_asked, partial_message);
     }
-    void predecessor_holds(std::size_t connections) override {
-        held_elsewhere_ = connections;
-        clients_.use_most(most_clients_ - std::min(most_clients_ - 1, connections));
+    void set_predecessor_connections(std::size_t connections) override {
+        predecessor_connections_ = connections;
+        callers_.set_max_connections(max_callers_ - std::min(max_callers_ - 1, connections));
     }
-    void take_standing(const ExchangeId& at, const CallId& call, const std::string& origin) override {
-        gatekeeper_.take_standing(at, call, origin, trunk_ ? trunk_->link_of(origin) : nullptr);
+    void add_standing_call(const ExchangeId& at, const CallId& call, const std::string& origin) override {
+        gatekeeper_.take_standing(at, call, origin, trunk_ ? trunk_->find_link(origin) : nullptr);
     }
-    void take_end(const ExchangeId& at, const CallId& call, Outcome outcome) override {
+    void end_standing_call(const ExchangeId& at, const CallId& call, Outcome outcome) override {
         gatekeeper_.ended(at, call, outcome, Cause::none, {});
     }
-    void take_release(const CallId& call) override { gatekeeper_.take_release(call); }
+    void release_standing_call(const CallId& call) override { gatekeeper_.take_release(call); }
 
    private:
-    static std::size_t memory(const config::Config& config) {
+    static std::size_t memory_bytes(const config::Config& config) {
         return static_cast<std::size_t>(config.memory_mb) * 1024 * 1024;
     }
 
-    // Half of the memory for the connections' queues and buffers, were all as full as they may be.
-    static std::size_t most_clients(const config::Config& config) {
+    // Callers' connections that the descriptors and half of the memory allow, with all queues and buffers
+    // full.
+    static std::size_t max_callers(const config::Config& config) {
         const auto sockets = static_cast<std::size_t>(config.sockets);
-        return std::max<std::size_t>(1, std::min(sockets - std::min(kSpareSockets, sockets / 2),
-                                                 memory(config) / 2 / net::kMostBuffered));
+        return std::max<std::size_t>(1, std::min(sockets - std::min(kReservedSockets, sockets / 2),
+                                                 memory_bytes(config) / 2 / net::kMaxConnectionBytes));
     }
 
-    // A sixth for descriptions of waiting calls, a fifth for the table itself.
+    // A sixth of the memory for descriptions of waiting calls, a fifth for the call table itself.
     static calls::Gatekeeper::Bounds bounds(const config::Config& config) {
-        return {.held = memory(config) / 6, .calls = memory(config) / 5 / kCallTakes};
+        return {.held = memory_bytes(config) / 6, .calls = memory_bytes(config) / 5 / kBytesPerCall};
     }
 
-    // Read as JSON, a line takes some ten times its length.
-    static std::size_t longest_line(const config::Config& config) { return memory(config) / 128; }
+    // A line of the feed takes about ten times its length while it is parsed as JSON.
+    static std::size_t max_line_bytes(const config::Config& config) { return memory_bytes(config) / 128; }
 
-    // The call table first: it withdraws what is out to an exchange before its connection goes.
-    void take(const ListEvent& event) {
+    // Applies an event of the list of exchanges. The call table comes first: it withdraws the attempts at an
+    // exchange before the connection to it is closed.
+    void apply(const ListEvent& event) {
         if (trunk_) {
             ListEvent all = trunk_->front().with_hubs(event);
             gatekeeper_.list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
-            servers_.list(all);
+            switches_.apply_list(all);
         } else {
             gatekeeper_.list(event);
-            servers_.list(event);
+            switches_.apply_list(event);
         }
-        if (event.kind != ListKind::changes) roster_.clear();
-        version_ = event.version;
+        if (event.kind != ListKind::changes) exchanges_.clear();
+        list_version_ = event.version;
         for (const ListedExchange& listed : event.entries) {
-            roster_.erase(listed.entry.exchange);
-            if (listed.entry.state != ExchangeState::gone) roster_.emplace(listed.entry.exchange, listed);
+            exchanges_.erase(listed.entry.exchange);
+            if (listed.entry.state != ExchangeState::gone) exchanges_.emplace(listed.entry.exchange, listed);
         }
     }
 
-    void arm(Instant at) {
+    // Wakes the call table at `at`, which is earlier than the moment scheduled before.
+    void schedule(Instant at) {
         alarm_.expires_after(std::max(Duration::zero(), at - clock_.now()));
-        alarm_.async_wait([this](const boost::system::error_code& stopped) {
-            if (!stopped) gatekeeper_.run_due();
+        alarm_.async_wait([this](const boost::system::error_code& cancelled) {
+            if (!cancelled) gatekeeper_.run_due();
         });
     }
 
-    asio::awaitable<void> watch_signals() {
+    // SIGUSR1 logs the counters, SIGHUP reloads the configuration, SIGTERM and SIGINT end the process.
+    asio::awaitable<void> handle_signals() {
         for (;;) {
             const int signal = co_await signals_.async_wait(asio::use_awaitable);
             if (signal == SIGUSR1) {
-                tell_counters();
+                log_counters();
             } else if (signal == SIGHUP) {
                 reload();
             } else if (!std::exchange(stopping_, true)) {
@@ -268,61 +280,65 @@
         }
     }
 
-    // A faulty file changes nothing: all of it is read and checked before any of it is used.
+    // Reads and checks both files completely before it applies any of them, so that a faulty file changes
+    // nothing.
     void reload() {
         try {
-            const config::Config fresh = load();
+            const config::Config updated = load();
             std::optional<config::OperatorFile> file;
             if (!file_path_.empty()) file = config::read_operator_file(file_path_);
-            if (const std::string kept = file ? config::needs_restart(*file_, *file) : std::string();
-                !kept.empty())
-                json::bad(file_path_ + ": " + kept);
-            if (fresh.listen != listen_) json::bad_key("listen", "the same until a restart");
-            if (!gatekeeper_.can_take(fresh.settings))
+            if (const std::string rejected_change =
+                    file ? config::needs_restart(*file_, *file) : std::string();
+                !rejected_change.empty())
+                json::bad(file_path_ + ": " + rejected_change);
+            if (updated.listen != listen_) json::bad_key("listen", "the same until a restart");
+            if (!gatekeeper_.can_take(updated.settings))
                 json::bad(
                     "in 'settings': 'grades', 'layout' and 'this_node' must be the same until a restart");
-            gatekeeper_.take(fresh.settings, bounds(fresh));
-            time_to_end_ = fresh.time_to_end();
-            time_to_end_superseded_ = fresh.time_to_end_superseded();
-            servers_.use_connect_time_out(fresh.net.connect_time_out);
-            most_clients_ = most_clients(fresh);
-            predecessor_holds(held_elsewhere_);
-            feed_.use_longest_line(longest_line(fresh));
-            feed_.catch_up(fresh.known, fresh.events);
-            feed_.move(net::to_endpoint(fresh.feed));
+            gatekeeper_.take(updated.settings, bounds(updated));
+            time_to_end_ = updated.time_to_end();
+            time_to_end_superseded_ = updated.time_to_end_superseded();
+            switches_.set_connect_time_out(updated.net.connect_time_out);
+            max_callers_ = max_callers(updated);
+            set_predecessor_connections(predecessor_connections_);
+            feed_.set_max_line_bytes(max_line_bytes(updated));
+            feed_.apply_events(updated.known, updated.events);
+            feed_.set_address(net::to_endpoint(updated.feed));
             if (file) {
                 file_ = std::move(file);
                 log_.use(file_->log.json, log::level_of(file_->log.level));
-                if (trunk_) trunk_->take(*file_->trunk);
+                if (trunk_) trunk_->apply(*file_->trunk);
             }
             ++counters_.reloads;
-            log_.info("configuration taken over, feed " + fresh.feed);
-        } catch (const std::exception& problem) {
+            log_.info("configuration taken over, feed " + updated.feed);
+        } catch (const std::exception& error) {
             ++counters_.reloads_refused;
-            log_.error(std::string("configuration refused, the old one stays: ") + problem.what());
+            log_.error(std::string("configuration refused, the old one stays: ") + error.what());
         }
     }
 
-    // Goes on serving until callers have had the time to turn elsewhere and all that is owed is answered.
+    // Ends the process. Serves on until callers have had time to turn to another gatekeeper and all pending
+    // answers are written, but not past the time to end; what is unanswered then is refused.
     asio::awaitable<void> stop() {
-        const Instant told = clock_.now();
-        const Instant end = told + (handover_.superseded() ? time_to_end_superseded_ : time_to_end_);
+        const Instant requested = clock_.now();
+        const Instant end = requested + (handover_.is_superseded() ? time_to_end_superseded_ : time_to_end_);
         gatekeeper_.leave(end);
         for (;;) {
-            stop_tick_.expires_after(kStopTick);
-            co_await stop_tick_.async_wait(asio::use_awaitable);
+            stop_timer_.expires_after(kStopCheckInterval);
+            co_await stop_timer_.async_wait(asio::use_awaitable);
             const Instant now = clock_.now();
             if (now >= end) gatekeeper_.refuse_all();
-            const bool done = gatekeeper_.unanswered() == 0 && clients_.idle() && servers_.idle() &&
-                              handover_.idle() && !(handover_.superseded() && clients_.open() > 0);
-            if ((done && now >= told + kServeOn) || now >= end + kLastWrites) break;
+            const bool done = gatekeeper_.unanswered() == 0 && callers_.is_idle() && switches_.is_idle() &&
+                              handover_.is_idle() &&
+                              !(handover_.is_superseded() && callers_.connection_count() > 0);
+            if ((done && now >= requested + kMinServiceAfterStop) || now >= end + kFinalWriteTime) break;
         }
-        clients_.stop();
+        callers_.stop();
         if (operators_) operators_->stop();
         if (trunk_) trunk_->stop();
         feed_.stop();
         handover_.stop();
-        static_cast<asio::io_context&>(stop_tick_.get_executor().context()).stop();
+        static_cast<asio::io_context&>(stop_timer_.get_executor().context()).stop();
     }
 
     log::Log& log_;
@@ -333,21 +349,23 @@
     UnixClock clock_;
     Instant started_ = clock_.now();
     Counters counters_;
-    net::SwitchConnections servers_;
+    net::SwitchConnections switches_;
     calls::Routes routes_;
     calls::Gatekeeper gatekeeper_;
     std::optional<TrunkService> trunk_;
-    net::CallerConnections clients_;
-    net::Feed feed_;
+    net::CallerConnections callers_;
+    net::FeedClient feed_;
     net::Handover handover_;
-    std::optional<net::Operators> operators_;
-    std::map<ExchangeId, ListedExchange> roster_;  // the list, for the process after this one
-    std::int64_t version_ = 0;
-    std::size_t most_clients_, held_elsewhere_ = 0;  // connections: at the most here; with the one before
-    bool in_charge_ = false;
-    asio::steady_timer alarm_, stop_tick_;
+    std::optional<net::OperatorServer> operators_;
+    std::map<ExchangeId, ListedExchange> exchanges_;  // the current list, for a successor
+    std::int64_t list_version_ = 0;
+    // Callers' connections: the bound for both processes of an upgrade together, and those of the
+    // predecessor.
+    std::size_t max_callers_, predecessor_connections_ = 0;
+    bool serving_ = false;  // false: a predecessor still serves
+    asio::steady_timer alarm_, stop_timer_;
     asio::signal_set signals_;
-    int notes_ = 0;
+    int note_count_ = 0;
     bool stopping_ = false;
 };
 
@@ -362,7 +380,7 @@
     asio::io_context io(1);
     Program program(io, config, options.operator_file, std::move(file), log);
     io.run();
-    program.tell_counters();
+    program.log_counters();
     return 0;
 }
 
--- a/src/program.hpp
+++ b/src/program.hpp
@@ -1,4 +1,4 @@
-// One gatekeeper in service: all parts joined, signals, reload, the end.
+// The gatekeeper process: joins all parts, handles signals, reloads the configuration and shuts down.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
     std::string operator_file;  // empty: none
 };
 
-// Serves until it is told to end. Throws json::BadInput or boost::system::system_error if it can't start.
+// Serves until SIGTERM or SIGINT and returns the exit code. Configuration comes from the environment and, if
+// one is named, the operator's file. Throws json::BadInput or boost::system::system_error if it cannot start.
 int serve(const ServeOptions& options);
 
 }  // namespace nettlestall
--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -15,42 +15,45 @@
       desk_(front_, time_) {
     for (const ListedExchange& lines : settings_.lines) front_.add_lines(lines);
     for (const config::TrunkSettings::Group& group : settings_.groups) front_.add(group.settings);
-    front_.on_freed([this](const trunk::Front::Trunk& of, const trunk::Freed& freed) {
-        log_.warning("audit of group " + std::to_string(of.settings().id) + " frees circuit " +
+    front_.on_freed([this](const trunk::Front::Trunk& trunk, const trunk::Freed& freed) {
+        log_.warning("audit of group " + std::to_string(trunk.settings().id) + " frees circuit " +
                          std::to_string(freed.circuit) + ", held at the " +
                          (freed.ref == trunk::kNoCall ? "far end only" : "near end only"),
                      freed.call);
     });
-    front_.on_glare_lost([this](const trunk::Front::Trunk& of, const CallId& call) {
+    front_.on_glare_lost([this](const trunk::Front::Trunk& trunk, const CallId& call) {
         if (log_.wants(log::Level::debug))
-            log_.debug("group " + std::to_string(of.settings().id) + ": lost a dual seizure", call);
+            log_.debug("group " + std::to_string(trunk.settings().id) + ": lost a dual seizure", call);
     });
 }
 
 void TrunkService::start() {
-    const auto note = [this](const std::string& text) { log_.warning(text); };
+    const auto warn = [this](const std::string& text) { log_.warning(text); };
     const auto now = std::chrono::duration_cast<std::chrono::seconds>(time_()).count();
     auto life = static_cast<std::uint32_t>(now & 0x7fffffff);
     if (!settings_.ledger.empty()) {
-        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger, settings_.point, note);
+        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger, settings_.point, warn);
         life = ledger_->next_life(life);
     }
     front_.begin(life, ledger_.get());
     if (ledger_) {
         for (const auto& blocked : ledger_->blocked())
             front_.restore_blocked(blocked.group, blocked.circuit, blocked.blocking);
-        const std::size_t back = front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
-            const ExchangeId at = call.outgoing ? front_.find(call.group)->settings().exchange : call.at;
-            gatekeeper_.take_standing(at, call.call, call.origin, link);
-        });
-        if (back > 0)
-            log_.info("ledger: " + std::to_string(back) + " calls stood; those that the far ends know go on");
+        const std::size_t restored =
+            front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
+                const ExchangeId at = call.outgoing ? front_.find(call.group)->settings().exchange : call.at;
+                gatekeeper_.take_standing(at, call.call, call.origin, link);
+            });
+        if (restored > 0)
+            log_.info("ledger: " + std::to_string(restored) +
+                      " standing calls restored; those that the far ends confirm go on");
     }
     std::optional<net::tcp::endpoint> listen;
     if (!settings_.listen.empty()) listen = net::to_endpoint(settings_.listen);
-    links_.emplace(io_, front_, listen, time_, note);
+    links_.emplace(io_, front_, listen, time_, warn);
     for (const config::TrunkSettings::Group& group : settings_.groups)
-        if (!group.dial.empty()) links_->dial(*front_.find(group.settings.id), *net::to_endpoint(group.dial));
+        if (!group.dial.empty())
+            links_->add_dialled(*front_.find(group.settings.id), *net::to_endpoint(group.dial));
     links_->start();
 }
 
@@ -64,15 +67,15 @@
     ledger_.reset();
 }
 
-void TrunkService::take(const config::TrunkSettings& settings) {
+void TrunkService::apply(const config::TrunkSettings& settings) {
     settings_ = settings;
     for (const config::TrunkSettings::Group& group : settings_.groups)
         front_.find(group.settings.id)->take_times(group.settings.rules);
 }
 
-CallerLink* TrunkService::link_of(std::string_view origin) {
-    for (trunk::Front::Trunk* of : front_.trunks())
-        if (of->origin() == origin) return of;
+CallerLink* TrunkService::find_link(std::string_view origin) {
+    for (trunk::Front::Trunk* trunk : front_.trunks())
+        if (trunk->origin() == origin) return trunk;
     return nullptr;
 }
 
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -1,4 +1,5 @@
-// The trunk signalling, where the operator's file asks for it: front, links, ledger and the operators' desk.
+// Trunk signalling as configured in the operator's file: joins the trunk front, the links, the circuit ledger
+// and the operators' commands.
 #pragma once
 
 #include <memory>
@@ -13,6 +14,7 @@
 
 namespace nettlestall {
 
+// Owns these parts. Until start() the groups exist, but no link is up and no ledger is open.
 class TrunkService {
    public:
     TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
@@ -22,15 +24,17 @@
     trunk::Desk& desk() { return desk_; }
     const trunk::Desk& desk() const { return desk_; }
 
-    // From now on the groups are this process's: its ledger, its links. The list of exchanges must be known.
-    // Throws boost::system::system_error if it can't listen.
+    // Opens the ledger, restores its calls and starts the links. The list of exchanges must be known. Throws
+    // boost::system::system_error if it cannot listen.
     void start();
-    void stop();
-    bool idle() const { return !links_ || links_->idle(); }
-    void retire();  // the next process has ledger, groups and calls
-    void take(const config::TrunkSettings& settings);
-    // Of a call that came over a group; null: it came otherwise.
-    CallerLink* link_of(std::string_view origin);
+    void stop();  // closes the links
+    bool is_idle() const { return !links_ || links_->is_idle(); }
+    // Leaves ledger, groups and calls to a successor process.
+    void retire();
+    // Applies those settings of the groups that may change in service: the times and the audit.
+    void apply(const config::TrunkSettings& settings);
+    // The group with this origin text; null: the call did not come over a group.
+    CallerLink* find_link(std::string_view origin);
 
    private:
     boost::asio::io_context& io_;
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -286,9 +286,9 @@
 void a_process_without_a_feed_does_not_wait_for_it() {
     boost::asio::io_context io;
     nettlestall::Counters counters;
-    const nettlestall::net::Feed none(
+    const nettlestall::net::FeedClient none(
         io, std::nullopt, 0, [](const nettlestall::ListEvent&) {}, 1000, counters);
-    CHECK(none.has_spoken());
+    CHECK(none.is_synchronized());
 }
 
 }  // namespace
