--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 using namespace nettlestall;
-using cli::Exit;
+using cli::ExitCode;
 
-// Runs `work`. An exception ends it with its message on standard error and exit code kFailed.
+// Runs `work`. An exception ends it with its message on standard error and exit code kFailure.
 int run(const std::function<int()>& work) {
     try {
         return work();
     } catch (const std::exception& error) {
         std::cerr << "nettlestall: " << error.what() << '\n';
-        return Exit::kFailed;
+        return ExitCode::kFailure;
     }
 }
 
@@ -46,7 +46,7 @@
     list->add_flag("--all", options->all, "With --group: lists all its circuits");
     list->callback([options, target, list, &result] {
         const std::string path = list->count("--group") ? target(options->all ? "?all=1" : "") : "/circuits";
-        result = cli::call_operators(options->at, "GET", path);
+        result = cli::send_operators_request(options->at, "GET", path);
     });
     for (const auto& [name, description] :
          {std::pair{"block", "Blocks circuits for new calls, here and at the far end"},
@@ -63,13 +63,14 @@
         command->callback([options, target, action = std::string(name), &result] {
             std::string query = "/" + action + "?circuits=" + options->circuits;
             if (action == "block") query += "&kind=" + options->kind;
-            result = cli::call_operators(options->at, "POST", target(query));
+            result = cli::send_operators_request(options->at, "POST", target(query));
         });
     }
     CLI::App* audit = circuits->add_subcommand("audit", "Compares a group's circuits with the far end's now");
     audit->add_option("--group", options->group)->required();
-    audit->callback(
-        [options, target, &result] { result = cli::call_operators(options->at, "POST", target("/audit")); });
+    audit->callback([options, target, &result] {
+        result = cli::send_operators_request(options->at, "POST", target("/audit"));
+    });
 }
 
 }  // namespace
@@ -82,7 +83,7 @@
         "gatekeeper "
         "refused the command; 4 no gatekeeper answered.");
     app.require_subcommand(0, 1);
-    int result = Exit::kDone;
+    int result = ExitCode::kSuccess;
 
     ServeOptions options;
     CLI::App* serve =
@@ -100,7 +101,7 @@
         result = run([&] {
             config::read_operator_file(file);
             std::cout << file << ": valid\n";
-            return static_cast<int>(Exit::kDone);
+            return static_cast<int>(ExitCode::kSuccess);
         });
     });
 
@@ -112,7 +113,7 @@
     try {
         app.parse(count, arguments);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? Exit::kDone : Exit::kUsage;
+        return app.exit(error) == 0 ? ExitCode::kSuccess : ExitCode::kUsageError;
     }
     if (app.get_subcommands().empty()) result = run([&] { return nettlestall::serve(options); });
     return result;
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -54,11 +54,11 @@
 // json::BadInput.
 config::Config load() {
     config::Config config = config::load();
-    if (!net::to_endpoint(config.listen)) json::bad_key("listen", "a numeric address:port");
-    if (!config.feed.empty() && !net::to_endpoint(config.feed))
-        json::bad_key("feed", "a numeric address:port");
-    if (!config.operators.empty() && !net::to_endpoint(config.operators))
-        json::bad_key("operator", "a numeric address:port");
+    if (!net::to_endpoint(config.listen_address)) json::throw_bad_key("listen", "a numeric address:port");
+    if (!config.feed_address.empty() && !net::to_endpoint(config.feed_address))
+        json::throw_bad_key("feed", "a numeric address:port");
+    if (!config.operators_address.empty() && !net::to_endpoint(config.operators_address))
+        json::throw_bad_key("operator", "a numeric address:port");
     return config;
 }
 
@@ -72,9 +72,9 @@
           file_path_(std::move(file_path)),
           file_(std::move(file)),
           name_(config.name),
-          listen_(config.listen),
-          time_to_end_(config.time_to_end()),
-          time_to_end_superseded_(config.time_to_end_superseded()),
+          listen_(config.listen_address),
+          shutdown_time_limit_(config.shutdown_time_limit()),
+          shutdown_time_limit_superseded_(config.shutdown_time_limit_superseded()),
           switches_(io, config.net.connect_time_out, counters_),
           routes_(switches_),
           gatekeeper_(
@@ -82,16 +82,16 @@
               bounds(config)),
           callers_(io, max_callers(config), gatekeeper_, counters_),
           feed_(
-              io, net::to_endpoint(config.feed), config.known,
+              io, net::to_endpoint(config.feed_address), config.last_event_number,
               [this](const ListEvent& event) { apply(event); }, max_line_bytes(config), counters_),
-          handover_(io, config.handover, *this, counters_),
+          handover_(io, config.handover_path, *this, counters_),
           max_callers_(max_callers(config)),
           alarm_(io),
           stop_timer_(io),
           signals_(io, SIGTERM, SIGINT, SIGUSR1) {
         signals_.add(SIGHUP);
-        if (!config.operators.empty())
-            operators_.emplace(io, *net::to_endpoint(config.operators), *this, counters_);
+        if (!config.operators_address.empty())
+            operators_.emplace(io, *net::to_endpoint(config.operators_address), *this, counters_);
         switches_.report_to(gatekeeper_);
         gatekeeper_.on_schedule([this](Instant at) { schedule(at); });
         gatekeeper_.on_note([this](const std::string& text) {
@@ -105,7 +105,7 @@
                 routes_.add(trunk->settings().exchange, trunk_->front());
         }
         bool first = true;
-        for (ListEvent event : config.events) {
+        for (ListEvent event : config.known_events) {
             if (!event.has_list) continue;
             if (std::exchange(first, false)) event.kind = ListKind::remembered;
             apply(event);
@@ -225,7 +225,7 @@
     // Callers' connections that the descriptors and half of the memory allow, with all queues and buffers
     // full.
     static std::size_t max_callers(const config::Config& config) {
-        const auto sockets = static_cast<std::size_t>(config.sockets);
+        const auto sockets = static_cast<std::size_t>(config.max_sockets);
         return std::max<std::size_t>(1, std::min(sockets - std::min(kReservedSockets, sockets / 2),
                                                  memory_bytes(config) / 2 / net::kMaxConnectionBytes));
     }
@@ -287,30 +287,30 @@
             const config::Config updated = load();
             std::optional<config::OperatorFile> file;
             if (!file_path_.empty()) file = config::read_operator_file(file_path_);
-            if (const std::string rejected_change =
-                    file ? config::needs_restart(*file_, *file) : std::string();
-                !rejected_change.empty())
-                json::bad(file_path_ + ": " + rejected_change);
-            if (updated.listen != listen_) json::bad_key("listen", "the same until a restart");
+            if (const std::string restart_reason =
+                    file ? config::find_restart_reason(*file_, *file) : std::string();
+                !restart_reason.empty())
+                json::throw_bad_input(file_path_ + ": " + restart_reason);
+            if (updated.listen_address != listen_) json::throw_bad_key("listen", "the same until a restart");
             if (!gatekeeper_.can_take(updated.settings))
-                json::bad(
+                json::throw_bad_input(
                     "in 'settings': 'grades', 'layout' and 'this_node' must be the same until a restart");
             gatekeeper_.take(updated.settings, bounds(updated));
-            time_to_end_ = updated.time_to_end();
-            time_to_end_superseded_ = updated.time_to_end_superseded();
+            shutdown_time_limit_ = updated.shutdown_time_limit();
+            shutdown_time_limit_superseded_ = updated.shutdown_time_limit_superseded();
             switches_.set_connect_time_out(updated.net.connect_time_out);
             max_callers_ = max_callers(updated);
             set_predecessor_connections(predecessor_connections_);
             feed_.set_max_line_bytes(max_line_bytes(updated));
-            feed_.apply_events(updated.known, updated.events);
-            feed_.set_address(net::to_endpoint(updated.feed));
+            feed_.apply_events(updated.last_event_number, updated.known_events);
+            feed_.set_address(net::to_endpoint(updated.feed_address));
             if (file) {
                 file_ = std::move(file);
-                log_.use(file_->log.json, log::level_of(file_->log.level));
+                log_.configure(file_->log.json, log::parse_level(file_->log.level));
                 if (trunk_) trunk_->apply(*file_->trunk);
             }
             ++counters_.reloads;
-            log_.info("configuration taken over, feed " + updated.feed);
+            log_.info("configuration taken over, feed " + updated.feed_address);
         } catch (const std::exception& error) {
             ++counters_.reloads_refused;
             log_.error(std::string("configuration refused, the old one stays: ") + error.what());
@@ -321,7 +321,8 @@
     // answers are written, but not past the time to end; what is unanswered then is refused.
     asio::awaitable<void> stop() {
         const Instant requested = clock_.now();
-        const Instant end = requested + (handover_.is_superseded() ? time_to_end_superseded_ : time_to_end_);
+        const Instant end =
+            requested + (handover_.is_superseded() ? shutdown_time_limit_superseded_ : shutdown_time_limit_);
         gatekeeper_.leave(end);
         for (;;) {
             stop_timer_.expires_after(kStopCheckInterval);
@@ -345,7 +346,7 @@
     std::string file_path_;
     std::optional<config::OperatorFile> file_;
     std::string name_, listen_;
-    Duration time_to_end_, time_to_end_superseded_;
+    Duration shutdown_time_limit_, shutdown_time_limit_superseded_;
     UnixClock clock_;
     Instant started_ = clock_.now();
     Counters counters_;
@@ -376,7 +377,7 @@
     std::optional<config::OperatorFile> file;
     if (!options.operator_file.empty()) file = config::read_operator_file(options.operator_file);
     log::Log log;
-    if (file) log.use(file->log.json, log::level_of(file->log.level));
+    if (file) log.configure(file->log.json, log::parse_level(file->log.level));
     asio::io_context io(1);
     Program program(io, config, options.operator_file, std::move(file), log);
     io.run();
