--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -36,7 +36,7 @@
 }  // namespace
 
 // One connection of a caller.
-class CallerConnections::Caller final : public protocol::CallerSession::Out {
+class CallerConnections::Caller final : public protocol::CallerSession::Output {
    public:
     Caller(tcp::socket socket, CallerEvents& events, Counters& counters)
         : connection_(std::make_shared<Connection>(std::move(socket), counters)),
@@ -45,26 +45,27 @@
     void send(protocol::Frame frame) override { connection_->send(std::move(frame)); }
     Connection& connection() { return *connection_; }
     protocol::CallerSession& session() { return session_; }
-    const CallerLink::Use& use() const { return session_.use; }
+    const CallerLink::Usage& use() const { return session_.usage; }
     bool is_idle() const { return connection_->is_idle(); }
     Clock::time_point last_read() const { return partial_.last_read(); }
     void on_read(Clock::time_point now) { partial_.on_read(session_, now); }
     // The connection is new, or a message is arriving in pieces, and the last piece came only just now.
     bool is_about_to_ask(Clock::time_point now) const {
-        return (!session_.has_asked() || session_.within_message()) && now - last_read() < kMaxPieceGap;
+        return (!session_.has_sent_request() || session_.has_partial_message()) &&
+               now - last_read() < kMaxPieceGap;
     }
     // No set-up awaits an answer and all answers have been written.
-    bool can_be_passed_on() const { return use().open == 0 && is_idle(); }
+    bool can_be_passed_on() const { return use().open_set_ups == 0 && is_idle(); }
     // Closing it now loses nothing: there is no pending answer, no standing call and no incomplete message.
     bool can_be_closed(Clock::time_point now) const {
-        return can_be_passed_on() && use().standing == 0 && !session_.within_message() &&
-               (session_.has_asked() || now - opened_ >= kMinFirstRequestTime);
+        return can_be_passed_on() && use().standing_calls == 0 && !session_.has_partial_message() &&
+               (session_.has_sent_request() || now - opened_ >= kMinFirstRequestTime);
     }
     // Callers may hold a connection without a call for as long as they like. Only a connection that never
     // asked for anything, or that stopped within a message, uses up a descriptor for nothing.
     bool is_overdue(Clock::time_point now) {
         return partial_.is_older_than(kMaxMessageTime, session_, now) ||
-               (!session_.has_asked() && now - opened_ >= kMaxFirstRequestTime);
+               (!session_.has_sent_request() && now - opened_ >= kMaxFirstRequestTime);
     }
 
    private:
@@ -145,7 +146,7 @@
     }
 }
 
-void CallerConnections::take_over_connection(int descriptor, bool has_asked,
+void CallerConnections::take_over_connection(int descriptor, bool has_sent_request,
                                              std::string_view partial_message) {
     tcp::socket socket(acceptor_.get_executor());
     boost::system::error_code error;
@@ -153,14 +154,14 @@
     if (error) ::close(descriptor);
     if (error) return;
     ++counters_.client_connections_taken_over;
-    add(std::move(socket), has_asked, partial_message);
+    add(std::move(socket), has_sent_request, partial_message);
 }
 
-void CallerConnections::add(tcp::socket socket, bool has_asked, std::string_view partial_message) {
+void CallerConnections::add(tcp::socket socket, bool has_sent_request, std::string_view partial_message) {
     const auto caller = std::make_shared<Caller>(std::move(socket), events_, counters_);
     connections_.push_back(caller);
-    events_.caller_up(caller->session());
-    if (!caller->session().resume(has_asked, partial_message)) return close(caller);
+    events_.on_caller_connected(caller->session());
+    if (!caller->session().resume(has_sent_request, partial_message)) return close(caller);
     spawn(acceptor_.get_executor(), serve(caller));
 }
 
@@ -175,13 +176,14 @@
     const auto now = Clock::now();
     const auto rank = [&connections_of, now](const std::shared_ptr<Caller>& caller) {
         protocol::CallerSession& session = caller->session();
-        return std::tuple(session.use.open > 0, session.use.standing > 0, caller->is_about_to_ask(now),
-                          -connections_of[session.origin()], session.has_asked(), caller->last_read());
+        return std::tuple(session.usage.open_set_ups > 0, session.usage.standing_calls > 0,
+                          caller->is_about_to_ask(now), -connections_of[session.origin()],
+                          session.has_sent_request(), caller->last_read());
     };
     const auto least_needed =
         std::min_element(connections_.begin(), connections_.end(),
                          [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
-    if (least_needed == connections_.end() || (*least_needed)->use().open > 0) return false;
+    if (least_needed == connections_.end() || (*least_needed)->use().open_set_ups > 0) return false;
     ++counters_.client_connections_displaced;
     close(*least_needed);
     return true;
@@ -189,7 +191,7 @@
 
 void CallerConnections::close(std::shared_ptr<Caller> caller) {
     if (std::erase(connections_, caller) == 0) return;
-    events_.caller_gone(caller->session());
+    events_.on_caller_disconnected(caller->session());
     caller->connection().close();
 }
 
@@ -237,10 +239,10 @@
         // If a set-up has come since the reading was paused, the connection is served on here.
         if (!pass_on_ || !caller->can_be_passed_on() || std::erase(connections_, caller) == 0) continue;
         ++counters_.client_connections_passed_on;
-        const std::string partial_message(session.begun());
-        events_.caller_gone(session);
+        const std::string partial_message(session.partial_message());
+        events_.on_caller_disconnected(session);
         const int descriptor = connection.release();
-        if (descriptor >= 0) pass_on_(descriptor, session.has_asked(), partial_message);
+        if (descriptor >= 0) pass_on_(descriptor, session.has_sent_request(), partial_message);
         co_return;
     }
     close(caller);
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -26,7 +26,7 @@
 // Bytes of messages that may wait for being written on one connection.
 constexpr std::size_t kMaxQueuedBytes = 64 * 1024;
 // Bytes that one connection holds at most: the queue and one message that is being read.
-constexpr std::size_t kMaxConnectionBytes = kMaxQueuedBytes + protocol::kLongestMessage;
+constexpr std::size_t kMaxConnectionBytes = kMaxQueuedBytes + protocol::kMaxMessageBytes;
 
 // Owns the socket. Messages are queued and written in order, several in one write; a connection whose queue
 // would pass kMaxQueuedBytes is closed. The owner reads with read_into().
@@ -53,14 +53,14 @@
     asio::awaitable<bool> read_into(Session& session, F on_read) {
         paused_ = false;
         for (;;) {
-            const std::span<char> space = session.space();
+            const std::span<char> space = session.read_buffer();
             const auto [error, bytes] = co_await socket_.async_read_some(
                 asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
             // If this end has closed the connection meanwhile, bytes that had arrived are discarded.
             if (paused_ && is_open() && error == asio::error::operation_aborted) co_return true;
             if (error || !is_open()) co_return false;
             on_read();
-            if (!session.fed(bytes)) co_return false;
+            if (!session.consume(bytes)) co_return false;
             if (paused_ && is_open()) co_return true;
         }
     }
@@ -85,7 +85,7 @@
     // To be called with every read, before the session handles its bytes.
     template <class Session>
     void on_read(const Session& session, Clock::time_point now) {
-        if (!session.within_message()) started_ = now;
+        if (!session.has_partial_message()) started_ = now;
         update(session);
         last_read_ = now;
     }
@@ -93,7 +93,7 @@
     template <class Session>
     bool is_older_than(Clock::duration age, const Session& session, Clock::time_point now) {
         update(session);
-        return session.within_message() && now - started_ >= age;
+        return session.has_partial_message() && now - started_ >= age;
     }
     Clock::time_point last_read() const { return last_read_; }
 
--- a/src/net/feed.cpp
+++ b/src/net/feed.cpp
@@ -17,7 +17,8 @@
 }  // namespace
 
 FeedClient::FeedClient(asio::io_context& io, std::optional<tcp::endpoint> address, std::int64_t known,
-                       protocol::FeedSession::Take take, std::size_t max_line_bytes, Counters& counters)
+                       protocol::FeedSession::ListHandler take, std::size_t max_line_bytes,
+                       Counters& counters)
     : address_(std::move(address)),
       session_(known, std::move(take), max_line_bytes),
       counters_(counters),
@@ -74,14 +75,14 @@
     const std::string line = session_.subscribe();
     co_await asio::async_write(socket_, asio::buffer(line), asio::as_tuple(asio::use_awaitable));
     for (;;) {
-        const auto space = session_.space();
+        const auto space = session_.read_buffer();
         const auto [error, bytes] = co_await socket_.async_read_some(asio::buffer(space.data(), space.size()),
                                                                      asio::as_tuple(asio::use_awaitable));
         // Bytes that came from the old address before a change are dropped: the new one sends the events
         // again.
         if (error || address_changed_) co_return;
         last_read_ = Clock::now();
-        if (session_.fed(bytes)) {
+        if (session_.consume(bytes)) {
             received_line_ = received_line_ || session_.whole_lines() > 0;
             continue;
         }
--- a/src/net/feed.hpp
+++ b/src/net/feed.hpp
@@ -18,13 +18,13 @@
     // `known` is the number of the last event that is known already; without an address there is no feed.
     // Each new event goes to `take`. A line longer than `max_line_bytes` is malformed.
     FeedClient(asio::io_context& io, std::optional<tcp::endpoint> address, std::int64_t known,
-               protocol::FeedSession::Take take, std::size_t max_line_bytes, Counters& counters);
+               protocol::FeedSession::ListHandler take, std::size_t max_line_bytes, Counters& counters);
 
-    void set_max_line_bytes(std::size_t max_line_bytes) { session_.use_longest(max_line_bytes); }
+    void set_max_line_bytes(std::size_t max_line_bytes) { session_.set_max_line_bytes(max_line_bytes); }
 
     void start();
     void stop();
-    std::int64_t last_event() const { return session_.last(); }  // its number
+    std::int64_t last_event() const { return session_.last_number(); }  // its number
     // Whether a whole line has come since the start, so that all earlier events are known. Also true without
     // a feed.
     bool is_synchronized() const { return received_line_ || !address_; }
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -54,7 +54,7 @@
 
     void send(const Message& message, Descriptor descriptor) {
         if (!is_open()) return;
-        queue_.push_back({message.bytes(), std::move(descriptor)});
+        queue_.push_back({message.encode(), std::move(descriptor)});
         if (std::exchange(writing_, true)) return;
         spawn(socket_.get_executor(), write(shared_from_this()));
     }
@@ -69,12 +69,12 @@
                     if (const auto self = weak.lock(); self && !cancelled) self->close();
                 });
         }
-        std::optional<Message> message = inbox_.next();
+        std::optional<Message> message = reader_.next();
         while (!message && is_open()) {
             const auto [error] =
                 co_await socket_.async_wait(local::socket::wait_read, asio::as_tuple(asio::use_awaitable));
             if (error || !is_open() || !read()) close();
-            message = inbox_.next();
+            message = reader_.next();
         }
         time_limit_timer_.cancel();
         if (message && message->carries_descriptor() && !descriptors_.empty()) {
@@ -95,7 +95,7 @@
 
     // Reads what has arrived, bytes and descriptors. False: the connection is closed, broken or malformed.
     bool read() {
-        const auto space = inbox_.space();
+        const auto space = reader_.read_buffer();
         iovec buffer{space.data(), space.size()};
         alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptorsPerRead * sizeof(int))];
         msghdr header{};
@@ -111,7 +111,7 @@
                 descriptors_.emplace_back(number);
             }
         }
-        return received > 0 && inbox_.fed(static_cast<std::size_t>(received));
+        return received > 0 && reader_.consume(static_cast<std::size_t>(received));
     }
 
     // Writes the queue until it is empty or the connection is closed.
@@ -148,7 +148,7 @@
 
     local::socket socket_;
     asio::steady_timer time_limit_timer_;
-    protocol::HandoverInbox inbox_;
+    protocol::HandoverReader reader_;
     std::deque<Descriptor> descriptors_;
     Descriptor received_descriptor_;
     std::deque<Outgoing> queue_;
@@ -227,16 +227,16 @@
 // has taken over by then, it has failed, and this process serves again.
 asio::awaitable<void> Handover::serve_successor(std::shared_ptr<Channel> to) {
     std::optional<Message> message = co_await to->receive(kMaxReplyTime);
-    if (message && message->greets()) {
+    if (message && message->is_valid_hello()) {
         to->send(Message::hello(), Descriptor(::dup(process_.listener_descriptor())));
-        to->send({Kind::list, {process_.exchange_list()}}, Descriptor());
+        to->send({Kind::exchange_list, {process_.exchange_list()}}, Descriptor());
         message = co_await to->receive(kMaxPreparationTime + kMaxPreparationTime / 2);
         if (message && message->kind == Kind::take_over && !stopped_) {
             ++counters_.handovers_given;
             handing_over_ = true;
             // Sends the standing calls, which the successor has to know before it serves.
             process_.begin_handover();
-            to->send({Kind::yours, {}}, Descriptor());
+            to->send({Kind::handed_over, {}}, Descriptor());
             while (message) message = co_await to->receive();
         }
     }
@@ -252,25 +252,25 @@
     if (successor_) successor_->send(message, std::move(descriptor));
 }
 
-void Handover::pass_on_caller(Descriptor connection, bool has_asked, std::string partial_message) {
-    send_to_successor({Kind::caller, {has_asked ? "1" : "0", std::move(partial_message)}},
+void Handover::pass_on_caller(Descriptor connection, bool has_sent_request, std::string partial_message) {
+    send_to_successor({Kind::caller_connection, {has_sent_request ? "1" : "0", std::move(partial_message)}},
                       std::move(connection));
 }
 
 void Handover::report_remaining(std::size_t connections) {
-    send_to_successor({Kind::remaining, {std::to_string(connections)}});
+    send_to_successor({Kind::remaining_callers, {std::to_string(connections)}});
 }
 
-void Handover::stands(const ExchangeId& at, const CallId& call, std::string_view origin) {
-    send_to_successor({Kind::stands, {at, call, std::string(origin)}});
+void Handover::hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) {
+    send_to_successor({Kind::standing_call, {at, call, std::string(origin)}});
 }
 
-void Handover::ended(const ExchangeId& at, const CallId& call, Outcome outcome) {
-    send_to_successor({Kind::ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
+void Handover::hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) {
+    send_to_successor({Kind::call_ended, {at, call, outcome == Outcome::ended ? "1" : "0"}});
 }
 
-void Handover::released(const CallId& call) {
-    send_to_successor({Kind::released, {call}});
+void Handover::hand_over_release(const CallId& call) {
+    send_to_successor({Kind::call_released, {call}});
 }
 
 // ---- The successor -------------------------------------------------------------------------------------
@@ -295,10 +295,10 @@
     from->send(Message::hello(), Descriptor());
     std::optional<Message> message = co_await from->receive(kMaxReplyTime);
     Descriptor listener = from->take_received_descriptor();
-    if (!message || !message->greets() || !listener) co_return false;
+    if (!message || !message->is_valid_hello() || !listener) co_return false;
     process_.use_listener(std::move(listener));
     message = co_await from->receive(kMaxReplyTime);
-    if (!message || message->kind != Kind::list) co_return false;
+    if (!message || message->kind != Kind::exchange_list) co_return false;
     process_.apply_list(message->parts[0]);
     asio::steady_timer poll_timer(io_);
     const auto deadline = std::chrono::steady_clock::now() + kMaxPreparationTime;
@@ -307,7 +307,7 @@
         co_await poll_timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     from->send({Kind::take_over, {}}, Descriptor());
-    while ((message = co_await from->receive(kMaxReplyTime)) && message->kind != Kind::yours)
+    while ((message = co_await from->receive(kMaxReplyTime)) && message->kind != Kind::handed_over)
         handle(*from, *message);
     co_return message.has_value();
 }
@@ -315,21 +315,21 @@
 void Handover::handle(Channel& from, const Message& message) {
     const auto& parts = message.parts;
     switch (message.kind) {
-        case Kind::caller:
+        case Kind::caller_connection:
             if (Descriptor connection = from.take_received_descriptor())
                 process_.add_caller_connection(std::move(connection), parts[0] == "1", parts[1]);
             break;
-        case Kind::remaining:
+        case Kind::remaining_callers:
             process_.set_predecessor_connections(static_cast<std::size_t>(
-                std::max<std::int64_t>(0, protocol::to_whole(parts[0]).value_or(0))));
+                std::max<std::int64_t>(0, protocol::to_integer(parts[0]).value_or(0))));
             break;
-        case Kind::stands:
+        case Kind::standing_call:
             process_.add_standing_call(parts[0], parts[1], parts[2]);
             break;
-        case Kind::ended:
+        case Kind::call_ended:
             process_.end_standing_call(parts[0], parts[1], parts[2] == "1" ? Outcome::ended : Outcome::reset);
             break;
-        case Kind::released:
+        case Kind::call_released:
             process_.release_standing_call(parts[0]);
             break;
         default:  // out of order: ignored
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -50,7 +50,7 @@
         virtual void apply_list(const std::string& line) = 0;
         virtual bool is_prepared() = 0;  // ready to serve
         virtual void take_over() = 0;    // serves from now on, also if nothing was handed over
-        virtual void add_caller_connection(Descriptor connection, bool has_asked,
+        virtual void add_caller_connection(Descriptor connection, bool has_sent_request,
                                            std::string_view partial_message) = 0;
         // The number of callers' connections that the predecessor still has.
         virtual void set_predecessor_connections(std::size_t connections) = 0;
@@ -79,12 +79,12 @@
     bool is_superseded() const { return handing_over_; }  // a successor has taken over
     bool is_idle() const;                                 // everything queued has been written
     // The following go to the successor, if there is one; otherwise they do nothing.
-    void pass_on_caller(Descriptor connection, bool has_asked, std::string partial_message);
+    void pass_on_caller(Descriptor connection, bool has_sent_request, std::string partial_message);
     void report_remaining(std::size_t connections);
 
-    void stands(const ExchangeId& at, const CallId& call, std::string_view origin) override;
-    void ended(const ExchangeId& at, const CallId& call, Outcome outcome) override;
-    void released(const CallId& call) override;
+    void hand_over_call(const ExchangeId& at, const CallId& call, std::string_view origin) override;
+    void hand_over_end(const ExchangeId& at, const CallId& call, Outcome outcome) override;
+    void hand_over_release(const CallId& call) override;
 
    private:
     class Channel;
--- a/src/net/operators.cpp
+++ b/src/net/operators.cpp
@@ -16,8 +16,8 @@
 
 // One connection and its request; its coroutine keeps it alive.
 struct OperatorServer::Request {
-    Request(tcp::socket accepted, protocol::OperatorEvents& events)
-        : socket(std::move(accepted)), session(events), deadline(socket.get_executor(), kMaxRequestTime) {}
+    Request(tcp::socket accepted, protocol::OperatorRequestHandler& handler)
+        : socket(std::move(accepted)), session(handler), deadline(socket.get_executor(), kMaxRequestTime) {}
 
     void close() {
         boost::system::error_code ignored;
@@ -30,8 +30,8 @@
 };
 
 OperatorServer::OperatorServer(asio::io_context& io, const tcp::endpoint& listen,
-                               protocol::OperatorEvents& events, Counters& counters)
-    : acceptor_(io), events_(events), counters_(counters) {
+                               protocol::OperatorRequestHandler& handler, Counters& counters)
+    : acceptor_(io), handler_(handler), counters_(counters) {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(listen);
@@ -67,7 +67,7 @@
             requests_.pop_front();
         }
         ++counters_.operator_calls;
-        auto request = std::make_shared<Request>(std::move(socket), events_);
+        auto request = std::make_shared<Request>(std::move(socket), handler_);
         requests_.push_back(request);
         spawn(acceptor_.get_executor(), serve(std::move(request), counters_));
     }
@@ -80,11 +80,11 @@
         if (const auto late = weak.lock(); late && !cancelled) late->close();
     });
     for (bool more = true; more;) {
-        const auto space = request->session.space();
+        const auto space = request->session.read_buffer();
         const auto [error, bytes] = co_await request->socket.async_read_some(
             asio::buffer(space.data(), space.size()), asio::as_tuple(asio::use_awaitable));
         if (error || !request->socket.is_open()) co_return;
-        more = request->session.fed(bytes);
+        more = request->session.consume(bytes);
     }
     const auto [error, written] = co_await asio::async_write(
         request->socket, asio::buffer(request->session.reply()), asio::as_tuple(asio::use_awaitable));
--- a/src/net/operators.hpp
+++ b/src/net/operators.hpp
@@ -20,8 +20,8 @@
     static constexpr std::size_t kMaxRequests = 16;
 
     // Listens at once; throws boost::system::system_error if it cannot.
-    OperatorServer(asio::io_context& io, const tcp::endpoint& listen, protocol::OperatorEvents& events,
-                   Counters& counters);
+    OperatorServer(asio::io_context& io, const tcp::endpoint& listen,
+                   protocol::OperatorRequestHandler& handler, Counters& counters);
     ~OperatorServer();
 
     void start();  // accepts from now on
@@ -34,7 +34,7 @@
     static asio::awaitable<void> serve(std::shared_ptr<Request> request, Counters& counters);
 
     tcp::acceptor acceptor_;
-    protocol::OperatorEvents& events_;
+    protocol::OperatorRequestHandler& handler_;
     Counters& counters_;
     std::list<std::weak_ptr<Request>> requests_;  // the oldest first; each is held by its coroutine
 };
--- a/src/net/switches.cpp
+++ b/src/net/switches.cpp
@@ -53,46 +53,49 @@
         fail_unanswered(nullptr);
     }
 
-    void set_up(const Forward& forward) {
+    void set_up(const OutgoingSetUp& request) {
         has_sent_set_ups_ = true;
         if (connection_ && connection_->is_open())
-            return send_set_up(forward.call, SwitchSession::set_up(forward));
-        waiting_.emplace_back(forward.call, SwitchSession::set_up(forward));
+            return send_set_up(request.call, SwitchSession::set_up_frame(request));
+        waiting_.emplace_back(request.call, SwitchSession::set_up_frame(request));
         timer_.cancel();  // dials at once
     }
 
     // Sent on the connection of the set-up. If that is closed, the set-up has failed with it already.
-    void give_up(const CallId& call) {
+    void cancel(const CallId& call) {
         std::erase_if(waiting_, [&](const auto& w) { return w.first == call; });
         const auto at = unanswered_.find(call);
         if (at == unanswered_.end()) return;
-        at->second->send(SwitchSession::release(call));
+        at->second->send(SwitchSession::release_frame(call));
         unanswered_.erase(at);
     }
 
     // Without a connection the release waits for the next one, as the call may be connected at the switch.
     void release(const CallId& call) {
-        if (connection_ && connection_->is_open()) return connection_->send(SwitchSession::release(call));
+        if (connection_ && connection_->is_open())
+            return connection_->send(SwitchSession::release_frame(call));
         if (pending_releases_.size() < kMaxPendingReleases) pending_releases_.push_back(call);
     }
 
     // Ends the set-ups that wait for a connection; they were never sent.
     void fail_waiting(Outcome outcome) {
         for (const auto& [call, frame] : std::exchange(waiting_, {}))
-            events_.ended(id_, call, outcome, Cause::none, {});
+            events_.on_call_ended(id_, call, outcome, Cause::none, {});
     }
 
-    void stands(const ExchangeId& at, const CallId& call, std::string_view description) override {
+    void on_answer(const ExchangeId& at, const CallId& call, std::string_view description) override {
         unanswered_.erase(call);
-        events_.stands(at, call, description);
+        events_.on_answer(at, call, description);
     }
-    void ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
-               const LoadReport& load) override {
+    void on_call_ended(const ExchangeId& at, const CallId& call, Outcome outcome, Cause cause,
+                       const LoadReport& load) override {
         unanswered_.erase(call);
-        events_.ended(at, call, outcome, cause, load);
+        events_.on_call_ended(at, call, outcome, cause, load);
+    }
+    void on_group_state(const ExchangeId& at, const LoadReport& load) override {
+        events_.on_group_state(at, load);
     }
-    void group_state(const ExchangeId& at, const LoadReport& load) override { events_.group_state(at, load); }
-    void process_dead(const ExchangeId& at) override { events_.process_dead(at); }
+    void on_process_failed(const ExchangeId& at) override { events_.on_process_failed(at); }
 
    private:
     struct Reader {  // the reading state of one connection
@@ -118,7 +121,7 @@
         for (const CallId& call : lost) {
             unanswered_.erase(call);
             release(call);
-            events_.ended(id_, call, Outcome::reset, Cause::none, {});
+            events_.on_call_ended(id_, call, Outcome::reset, Cause::none, {});
         }
     }
 
@@ -155,7 +158,7 @@
                 // such a long silence on old and new connections the switch must have dropped them.
                 if (error == asio::error::timed_out)
                     dead = Clock::now() - last_read_ >= kDeadInTimeOuts * connect_time_out_;
-                if (dead && std::exchange(was_connected, false)) events_.process_dead(id_);
+                if (dead && std::exchange(was_connected, false)) events_.on_process_failed(id_);
             }
             // Pauses after a successful dial too, since the far end may close each connection at once.
             timer_.expires_after(waiting_.empty() ? pause : kReconnectPauseWithSetUps);
@@ -192,7 +195,7 @@
         last_read_ = Clock::now();
         first_set_up_since_read_.reset();
         for (const CallId& call : std::exchange(pending_releases_, {}))
-            connection_->send(SwitchSession::release(call));
+            connection_->send(SwitchSession::release_frame(call));
         for (auto& [call, frame] : std::exchange(waiting_, {})) send_set_up(call, std::move(frame));
         spawn(io_, read_messages(shared_from_this(), connection_));
     }
@@ -291,14 +294,14 @@
     return std::all_of(peers_.begin(), peers_.end(), [](const auto& p) { return p.second->is_idle(); });
 }
 
-void SwitchConnections::set_up(const ExchangeId& at, const Forward& forward) {
+void SwitchConnections::set_up(const ExchangeId& at, const OutgoingSetUp& request) {
     const auto peer = peers_.find(at);
-    if (peer != peers_.end()) return peer->second->set_up(forward);
-    events_->ended(at, forward.call, Outcome::unreachable, Cause::none, {});
+    if (peer != peers_.end()) return peer->second->set_up(request);
+    events_->on_call_ended(at, request.call, Outcome::unreachable, Cause::none, {});
 }
 
-void SwitchConnections::give_up(const ExchangeId& at, const CallId& call) {
-    if (const auto peer = peers_.find(at); peer != peers_.end()) peer->second->give_up(call);
+void SwitchConnections::cancel(const ExchangeId& at, const CallId& call) {
+    if (const auto peer = peers_.find(at); peer != peers_.end()) peer->second->cancel(call);
 }
 
 void SwitchConnections::release(const ExchangeId& at, const CallId& call) {
--- a/src/net/switches.hpp
+++ b/src/net/switches.hpp
@@ -28,8 +28,8 @@
     void stop();           // closes all connections; all unanswered set-ups fail
     bool is_idle() const;  // everything queued has been written
 
-    void set_up(const ExchangeId& at, const Forward& forward) override;
-    void give_up(const ExchangeId& at, const CallId& call) override;
+    void set_up(const ExchangeId& at, const OutgoingSetUp& request) override;
+    void cancel(const ExchangeId& at, const CallId& call) override;
     void release(const ExchangeId& at, const CallId& call) override;
 
    private:
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -64,7 +64,7 @@
 
 // Owns and joins all parts of the gatekeeper: the call table in the middle, around it the drivers of callers,
 // carrier switches, feed, operators and circuit groups, and the hand-over to and from other processes.
-class Program final : public protocol::OperatorEvents, public net::Handover::Process {
+class Program final : public protocol::OperatorRequestHandler, public net::Handover::Process {
    public:
     Program(asio::io_context& io, const config::Config& config, std::string file_path,
             std::optional<config::OperatorFile> file, log::Log& log)
@@ -93,16 +93,16 @@
         if (!config.operators_address.empty())
             operators_.emplace(io, *net::to_endpoint(config.operators_address), *this, counters_);
         switches_.report_to(gatekeeper_);
-        gatekeeper_.on_schedule([this](Instant at) { schedule(at); });
-        gatekeeper_.on_note([this](const std::string& text) {
+        gatekeeper_.set_timer_handler([this](Instant at) { schedule(at); });
+        gatekeeper_.set_note_handler([this](const std::string& text) {
             if (++note_count_ <= kMaxLoggedNotes) log_.info("note: " + text);
         });
-        callers_.close_idle_while([this] { return gatekeeper_.sends_away(); });
+        callers_.close_idle_while([this] { return gatekeeper_.can_close_callers(); });
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
             for (const trunk::Front::Trunk* trunk : trunk_->front().trunks())
-                routes_.add(trunk->settings().exchange, trunk_->front());
+                routes_.add_route(trunk->settings().exchange, trunk_->front());
         }
         bool first = true;
         for (ListEvent event : config.known_events) {
@@ -131,12 +131,12 @@
 
     // ---- Operators' requests
 
-    bool ready() override { return serving_ && gatekeeper_.ready(); }
+    bool is_ready() override { return serving_ && gatekeeper_.is_ready(); }
     std::string metrics() const override {
         return net::metrics(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
     }
-    std::optional<protocol::OperatorReply> other(std::string_view method, std::string_view path,
-                                                 std::string_view query) override {
+    std::optional<protocol::OperatorReply> handle_other(std::string_view method, std::string_view path,
+                                                        std::string_view query) override {
         if (path == "/calls/oldest") {
             if (method != "GET") return protocol::OperatorReply{405, "GET"};
             return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kMaxOldestCalls)};
@@ -166,16 +166,18 @@
         log_.info("another process takes over");
         callers_.pause_accepting();
         if (trunk_) trunk_->retire();
-        gatekeeper_.give_way_to(&handover_);
-        callers_.pass_connections_to([this](int descriptor, bool has_asked, std::string partial_message) {
-            handover_.pass_on_caller(net::Descriptor(descriptor), has_asked, std::move(partial_message));
-            handover_.report_remaining(callers_.connection_count());
-        });
+        gatekeeper_.hand_over_to(&handover_);
+        callers_.pass_connections_to(
+            [this](int descriptor, bool has_sent_request, std::string partial_message) {
+                handover_.pass_on_caller(net::Descriptor(descriptor), has_sent_request,
+                                         std::move(partial_message));
+                handover_.report_remaining(callers_.connection_count());
+            });
         handover_.report_remaining(callers_.connection_count());
     }
     void resume_service() override {
         log_.warning("the other process has gone");
-        gatekeeper_.give_way_to(nullptr);
+        gatekeeper_.hand_over_to(nullptr);
         callers_.pass_connections_to(nullptr);
         callers_.resume_accepting();
     }
@@ -192,7 +194,7 @@
         }
     }
     bool is_prepared() override {
-        return gatekeeper_.ready() && (feed_.is_synchronized() || clock_.now() - started_ >= kMaxFeedWait);
+        return gatekeeper_.is_ready() && (feed_.is_synchronized() || clock_.now() - started_ >= kMaxFeedWait);
     }
     void take_over() override {
         if (callers_.listener_descriptor() < 0) callers_.listen(*net::to_endpoint(listen_));
@@ -201,21 +203,21 @@
         callers_.start();
         log_.info(name_ + ": listening on " + listen_);
     }
-    void add_caller_connection(net::Descriptor connection, bool has_asked,
+    void add_caller_connection(net::Descriptor connection, bool has_sent_request,
                                std::string_view partial_message) override {
-        callers_.take_over_connection(connection.release(), has_asked, partial_message);
+        callers_.take_over_connection(connection.release(), has_sent_request, partial_message);
     }
     void set_predecessor_connections(std::size_t connections) override {
         predecessor_connections_ = connections;
         callers_.set_max_connections(max_callers_ - std::min(max_callers_ - 1, connections));
     }
     void add_standing_call(const ExchangeId& at, const CallId& call, const std::string& origin) override {
-        gatekeeper_.take_standing(at, call, origin, trunk_ ? trunk_->find_link(origin) : nullptr);
+        gatekeeper_.accept_standing(at, call, origin, trunk_ ? trunk_->find_link(origin) : nullptr);
     }
     void end_standing_call(const ExchangeId& at, const CallId& call, Outcome outcome) override {
-        gatekeeper_.ended(at, call, outcome, Cause::none, {});
+        gatekeeper_.on_call_ended(at, call, outcome, Cause::none, {});
     }
-    void release_standing_call(const CallId& call) override { gatekeeper_.take_release(call); }
+    void release_standing_call(const CallId& call) override { gatekeeper_.accept_release(call); }
 
    private:
     static std::size_t memory_bytes(const config::Config& config) {
@@ -232,7 +234,8 @@
 
     // A sixth of the memory for descriptions of waiting calls, a fifth for the call table itself.
     static calls::Gatekeeper::Bounds bounds(const config::Config& config) {
-        return {.held = memory_bytes(config) / 6, .calls = memory_bytes(config) / 5 / kBytesPerCall};
+        return {.max_description_bytes = memory_bytes(config) / 6,
+                .max_calls = memory_bytes(config) / 5 / kBytesPerCall};
     }
 
     // A line of the feed takes about ten times its length while it is parsed as JSON.
@@ -243,11 +246,11 @@
     void apply(const ListEvent& event) {
         if (trunk_) {
             ListEvent all = trunk_->front().with_hubs(event);
-            gatekeeper_.list(all);
+            gatekeeper_.apply_list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
             switches_.apply_list(all);
         } else {
-            gatekeeper_.list(event);
+            gatekeeper_.apply_list(event);
             switches_.apply_list(event);
         }
         if (event.kind != ListKind::changes) exchanges_.clear();
@@ -262,7 +265,7 @@
     void schedule(Instant at) {
         alarm_.expires_after(std::max(Duration::zero(), at - clock_.now()));
         alarm_.async_wait([this](const boost::system::error_code& cancelled) {
-            if (!cancelled) gatekeeper_.run_due();
+            if (!cancelled) gatekeeper_.run_timers();
         });
     }
 
@@ -292,10 +295,10 @@
                 !restart_reason.empty())
                 json::throw_bad_input(file_path_ + ": " + restart_reason);
             if (updated.listen_address != listen_) json::throw_bad_key("listen", "the same until a restart");
-            if (!gatekeeper_.can_take(updated.settings))
+            if (!gatekeeper_.can_apply(updated.settings))
                 json::throw_bad_input(
                     "in 'settings': 'grades', 'layout' and 'this_node' must be the same until a restart");
-            gatekeeper_.take(updated.settings, bounds(updated));
+            gatekeeper_.apply_settings(updated.settings, bounds(updated));
             shutdown_time_limit_ = updated.shutdown_time_limit();
             shutdown_time_limit_superseded_ = updated.shutdown_time_limit_superseded();
             switches_.set_connect_time_out(updated.net.connect_time_out);
@@ -323,14 +326,14 @@
         const Instant requested = clock_.now();
         const Instant end =
             requested + (handover_.is_superseded() ? shutdown_time_limit_superseded_ : shutdown_time_limit_);
-        gatekeeper_.leave(end);
+        gatekeeper_.begin_shutdown(end);
         for (;;) {
             stop_timer_.expires_after(kStopCheckInterval);
             co_await stop_timer_.async_wait(asio::use_awaitable);
             const Instant now = clock_.now();
             if (now >= end) gatekeeper_.refuse_all();
-            const bool done = gatekeeper_.unanswered() == 0 && callers_.is_idle() && switches_.is_idle() &&
-                              handover_.is_idle() &&
+            const bool done = gatekeeper_.unanswered_calls() == 0 && callers_.is_idle() &&
+                              switches_.is_idle() && handover_.is_idle() &&
                               !(handover_.is_superseded() && callers_.connection_count() > 0);
             if ((done && now >= requested + kMinServiceAfterStop) || now >= end + kFinalWriteTime) break;
         }
--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -42,7 +42,7 @@
         const std::size_t restored =
             front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
                 const ExchangeId at = call.outgoing ? front_.find(call.group)->settings().exchange : call.at;
-                gatekeeper_.take_standing(at, call.call, call.origin, link);
+                gatekeeper_.accept_standing(at, call.call, call.origin, link);
             });
         if (restored > 0)
             log_.info("ledger: " + std::to_string(restored) +
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -40,7 +40,7 @@
         caller.send(set_up(call, 1, 20'000));
         CHECK(at_switch.receive().call == call);
         at_switch.send(answer(call));
-        CHECK(caller.receive().type == Type::answer);
+        CHECK(caller.receive().type == MessageType::answer);
     }
 
     Listener at, feed_at;
@@ -106,13 +106,13 @@
         busy.send(set_up(call, 1, 20'000));
         if (first_to_speak(busy, site.at_switch) == &busy) {
             const Received heard = busy.receive();
-            CHECK(heard.type == Type::release && heard.cause == 34 && heard.call == call);
+            CHECK(heard.type == MessageType::release && heard.cause == 34 && heard.call == call);
             break;
         }
         CHECK(site.at_switch.receive().call == call);
         site.at_switch.send(group_state("x0:9;x1:9"));
         site.at_switch.send(answer(call));
-        CHECK(busy.receive().type == Type::answer);
+        CHECK(busy.receive().type == MessageType::answer);
         site.at_switch.send(release(call, 16));
         CHECK(busy.receive().cause == 16);
         usleep(30'000);
@@ -181,7 +181,7 @@
     CHECK(quiet.receive().call == kThree);
     CHECK(health_check(busy).cause == 1);
     site.at_switch.send(answer(kTwo));
-    CHECK(busy.receive().type == Type::answer);
+    CHECK(busy.receive().type == MessageType::answer);
     // What ends on the old one's connection is told by the new one; what callers end goes by the new one.
     site.at_switch.send(release(kOne, 16));
     const Received heard = first_to_speak(quiet, busy)->receive();  // the same caller's, whichever
@@ -196,7 +196,7 @@
     CHECK(site.program.exit_code() == 0);
     CHECK(health_check(busy).cause == 1 && health_check(quiet).cause == 1);
     next.at_switch.send(answer(kTwo));
-    CHECK(open.receive().type == Type::answer);
+    CHECK(open.receive().type == MessageType::answer);
     CHECK(has(operator_reply(next.desk, "GET /metrics"), "move.success:2|c"));
     CHECK(has(site.program.log(), " client_connections_passed_on=2 "));
     next.program.signal(SIGKILL);  // what it leaves behind is in nobody's way
