--- a/src/net/trunk_links.cpp
+++ b/src/net/trunk_links.cpp
@@ -24,11 +24,11 @@
 // One connection of a group. Bytes to send are collected while a write is under way.
 class TrunkLinks::Link : public std::enable_shared_from_this<Link> {
    public:
-    Link(tcp::socket socket, trunk::Front::Trunk& group) : trunk(group), socket_(std::move(socket)) {
+    Link(tcp::socket socket, trunk::TrunkManager::Trunk& group) : trunk(group), socket_(std::move(socket)) {
         configure_socket(socket_);
     }
 
-    trunk::Front::Trunk& trunk;
+    trunk::TrunkManager::Trunk& trunk;
     Clock::time_point last_read = Clock::now();
 
     tcp::socket& socket() { return socket_; }
@@ -68,23 +68,23 @@
     bool writing_ = false, closing_ = false;
 };
 
-TrunkLinks::TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-                       trunk::Front::Time time, Warn warn)
+TrunkLinks::TrunkLinks(asio::io_context& io, trunk::TrunkManager& trunk_manager,
+                       std::optional<tcp::endpoint> listen, trunk::TrunkManager::Clock clock, Warn warn)
     : io_(io),
-      front_(front),
-      time_(std::move(time)),
+      trunk_manager_(trunk_manager),
+      clock_(std::move(clock)),
       warn_(std::move(warn)),
       listen_(listen),
       acceptor_(io),
       alarm_(io),
       heartbeat_timer_(io) {
-    front_.on_output([this](trunk::Front::Trunk& trunk) { write_output(trunk); });
-    front_.on_schedule([this](Instant at) { schedule(at); });
+    trunk_manager_.on_output([this](trunk::TrunkManager::Trunk& trunk) { write_output(trunk); });
+    trunk_manager_.on_schedule([this](Instant at) { schedule(at); });
 }
 
 TrunkLinks::~TrunkLinks() = default;
 
-void TrunkLinks::add_dialled(trunk::Front::Trunk& trunk, const tcp::endpoint& to) {
+void TrunkLinks::add_dialled(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to) {
     dialled_.push_back({&trunk, to});
 }
 
@@ -172,20 +172,20 @@
         if (error || stopped_ || !socket->is_open()) co_return;
         received.append(buffer.data(), bytes);
         trunk::FrameReader reader;
-        reader.fed(received);
+        reader.append(received);
         const auto next = reader.next(frame);
-        if (next == trunk::FrameReader::Next::frame) break;
-        if (next == trunk::FrameReader::Next::malformed || received.size() > kReadBufferBytes) co_return;
+        if (next == trunk::FrameReader::Status::complete) break;
+        if (next == trunk::FrameReader::Status::malformed || received.size() > kReadBufferBytes) co_return;
     }
     limit.cancel();
     const auto* hello = std::get_if<trunk::Hello>(&frame);
-    trunk::Front::Trunk* const group = hello ? front_.find(hello->group) : nullptr;
+    trunk::TrunkManager::Trunk* const group = hello ? trunk_manager_.find(hello->group) : nullptr;
     std::string refusal = !hello   ? "no hello"
                           : !group ? "group " + std::to_string(hello->group) + " is not known here"
-                                   : group->session().wrong_with(*hello);
+                                   : group->session().find_mismatch(*hello);
     if (!refusal.empty()) {
         warn_("trunk connection refused: " + refusal);
-        const std::string bye = trunk::write(trunk::Bye{refusal.substr(0, trunk::kLongestName)});
+        const std::string bye = trunk::encode(trunk::Bye{refusal.substr(0, trunk::kMaxTextBytes)});
         co_await asio::async_write(*socket, asio::buffer(bye), asio::as_tuple(asio::use_awaitable));
         co_return;
     }
@@ -204,11 +204,11 @@
         if (stopped_) co_return;
         if (!error) {
             const std::uint64_t links_before =
-                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew;
+                dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted;
             co_await read_messages(std::make_shared<Link>(std::move(socket), *dialled.trunk), {});
             if (stopped_) co_return;
             // The pause starts over only if the link came up: the far end may close each connection at once.
-            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().anew >
+            if (dialled.trunk->session().counts().resumed + dialled.trunk->session().counts().restarted >
                 links_before)
                 reconnect_pause = kMinReconnectPause;
         }
@@ -226,8 +226,8 @@
     links_[&link->trunk] = link;
     link->trunk.connected();
     const auto handle = [&](std::string_view bytes) {
-        if (link->trunk.fed(bytes)) return true;
-        close_link(link, link->trunk.session().complaint());
+        if (link->trunk.receive_bytes(bytes)) return true;
+        close_link(link, link->trunk.session().close_reason());
         return false;
     };
     if (!received.empty() && !handle(received)) co_return;
@@ -257,7 +257,7 @@
     if (std::exchange(last_warning_[&link->trunk], text) != text) warn_(text);
 }
 
-void TrunkLinks::write_output(trunk::Front::Trunk& trunk) {
+void TrunkLinks::write_output(trunk::TrunkManager::Trunk& trunk) {
     if (const auto at = links_.find(&trunk); at != links_.end()) at->second->send(trunk.take_output());
 }
 
@@ -275,7 +275,7 @@
             if (Clock::now() - link->last_read >= kMaxSilence)
                 close_link(link, "nothing received for 3 s");
             else
-                link->trunk.beat();
+                link->trunk.send_heartbeat();
         }
     }
 }
@@ -284,11 +284,11 @@
 void TrunkLinks::schedule(Instant at) {
     if (stopped_ || at >= scheduled_) return;
     scheduled_ = at;
-    alarm_.expires_after(std::max(Duration::zero(), at - time_()));
+    alarm_.expires_after(std::max(Duration::zero(), at - clock_()));
     alarm_.async_wait([this](const boost::system::error_code& cancelled) {
         if (cancelled || stopped_) return;
         scheduled_ = Instant::max();
-        front_.run_due();
+        trunk_manager_.run_timers();
     });
 }
 
--- a/src/net/trunk_links.hpp
+++ b/src/net/trunk_links.hpp
@@ -13,13 +13,14 @@
 #include <string>
 
 #include "net/connection.hpp"
-#include "trunk/front.hpp"
+#include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::net {
 
 // Reads each link into its group's session, writes what the session puts out, sends heartbeats and wakes the
-// trunk front when its timers expire. Closes a link when the far end closes it or sends something malformed,
-// when nothing was received for 3 s, or when a new connection of the same group has identified itself.
+// trunk manager when its timers expire. Closes a link when the far end closes it or sends something
+// malformed, when nothing was received for 3 s, or when a new connection of the same group has identified
+// itself.
 class TrunkLinks {
    public:
     // Accepted connections that have not sent their hello yet; at the bound the oldest is closed.
@@ -28,13 +29,13 @@
     // Receives the text of a warning for the log.
     using Warn = std::function<void(const std::string&)>;
 
-    // Without `listen` no connection is accepted. `time` is the clock of the trunk front.
-    TrunkLinks(asio::io_context& io, trunk::Front& front, std::optional<tcp::endpoint> listen,
-               trunk::Front::Time time, Warn warn);
+    // Without `listen` no connection is accepted. `time` is the clock of the trunk manager.
+    TrunkLinks(asio::io_context& io, trunk::TrunkManager& trunk_manager, std::optional<tcp::endpoint> listen,
+               trunk::TrunkManager::Clock clock, Warn warn);
     ~TrunkLinks();
 
     // A group whose far end this hub dials, from start() on.
-    void add_dialled(trunk::Front::Trunk& trunk, const tcp::endpoint& to);
+    void add_dialled(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to);
     // Listens and dials. While the address is in use, listening is tried again, as a predecessor process may
     // still have it; any other error throws boost::system::system_error out of the event loop.
     void start();
@@ -44,7 +45,7 @@
    private:
     class Link;
     struct Dialled {
-        trunk::Front::Trunk* trunk;
+        trunk::TrunkManager::Trunk* trunk;
         tcp::endpoint to;
     };
 
@@ -55,21 +56,22 @@
     asio::awaitable<void> read_messages(std::shared_ptr<Link> link, std::string received);
     asio::awaitable<void> send_heartbeats();
     void schedule(Instant at);
-    void write_output(trunk::Front::Trunk& trunk);
+    void write_output(trunk::TrunkManager::Trunk& trunk);
     void close_link(const std::shared_ptr<Link>& link, const std::string& reason);
 
     asio::io_context& io_;
-    trunk::Front& front_;
-    trunk::Front::Time time_;
+    trunk::TrunkManager& trunk_manager_;
+    trunk::TrunkManager::Clock clock_;
     Warn warn_;
     std::optional<tcp::endpoint> listen_;
     tcp::acceptor acceptor_;
     asio::steady_timer alarm_, heartbeat_timer_;
     Instant scheduled_ = Instant::max();  // when alarm_ expires; max: not set
     std::vector<Dialled> dialled_;
-    std::map<trunk::Front::Trunk*, std::shared_ptr<Link>> links_;
-    std::list<std::weak_ptr<tcp::socket>> unidentified_;        // the oldest first
-    std::map<trunk::Front::Trunk*, std::string> last_warning_;  // the same one is not logged twice in a row
+    std::map<trunk::TrunkManager::Trunk*, std::shared_ptr<Link>> links_;
+    std::list<std::weak_ptr<tcp::socket>> unidentified_;  // the oldest first
+    std::map<trunk::TrunkManager::Trunk*, std::string>
+        last_warning_;  // the same one is not logged twice in a row
     bool stopped_ = false;
 };
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -101,8 +101,8 @@
         if (file_ && file_->trunk) {
             trunk_.emplace(
                 io, *file_->trunk, gatekeeper_, [this] { return clock_.now(); }, log_);
-            for (const trunk::Front::Trunk* trunk : trunk_->front().trunks())
-                routes_.add_route(trunk->settings().exchange, trunk_->front());
+            for (const trunk::TrunkManager::Trunk* trunk : trunk_->trunk_manager().trunks())
+                routes_.add_route(trunk->settings().exchange, trunk_->trunk_manager());
         }
         bool first = true;
         for (ListEvent event : config.known_events) {
@@ -133,7 +133,8 @@
 
     bool is_ready() override { return serving_ && gatekeeper_.is_ready(); }
     std::string metrics() const override {
-        return net::metrics(gatekeeper_, counters_) + (trunk_ ? trunk_->desk().figures() : std::string());
+        return net::metrics(gatekeeper_, counters_) +
+               (trunk_ ? trunk_->operator_commands().metrics() : std::string());
     }
     std::optional<protocol::OperatorReply> handle_other(std::string_view method, std::string_view path,
                                                         std::string_view query) override {
@@ -142,7 +143,7 @@
             return protocol::OperatorReply{200, net::oldest_calls(gatekeeper_, kMaxOldestCalls)};
         }
         if (!trunk_) return std::nullopt;
-        return trunk_->desk().carry_out(method, path, query);
+        return trunk_->operator_commands().handle(method, path, query);
     }
     void drain() override {
         ++counters_.drains;
@@ -165,7 +166,7 @@
     void begin_handover() override {
         log_.info("another process takes over");
         callers_.pause_accepting();
-        if (trunk_) trunk_->retire();
+        if (trunk_) trunk_->hand_over();
         gatekeeper_.hand_over_to(&handover_);
         callers_.pass_connections_to(
             [this](int descriptor, bool has_sent_request, std::string partial_message) {
@@ -245,7 +246,7 @@
     // exchange before the connection to it is closed.
     void apply(const ListEvent& event) {
         if (trunk_) {
-            ListEvent all = trunk_->front().with_hubs(event);
+            ListEvent all = trunk_->trunk_manager().with_far_hubs(event);
             gatekeeper_.apply_list(all);
             std::erase_if(all.entries, [](const ListedExchange& listed) { return listed.address.empty(); });
             switches_.apply_list(all);
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -1,5 +1,5 @@
-// Trunk signalling as configured in the operator's file: joins the trunk front, the links, the circuit ledger
-// and the operators' commands.
+// Trunk signalling as configured in the operator's file: joins the trunk manager, the links, the circuit
+// ledger and the operators' commands.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 #include "log/log.hpp"
 #include "net/trunk_links.hpp"
 #include "store/trunk_ledger.hpp"
-#include "trunk/desk.hpp"
+#include "trunk/operator_commands.hpp"
 
 namespace nettlestall {
 
@@ -18,11 +18,11 @@
 class TrunkService {
    public:
     TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
-                 calls::Gatekeeper& gatekeeper, trunk::Front::Time time, log::Log& log);
+                 calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock clock, log::Log& log);
 
-    trunk::Front& front() { return front_; }
-    trunk::Desk& desk() { return desk_; }
-    const trunk::Desk& desk() const { return desk_; }
+    trunk::TrunkManager& trunk_manager() { return trunk_manager_; }
+    trunk::OperatorCommands& operator_commands() { return operator_commands_; }
+    const trunk::OperatorCommands& operator_commands() const { return operator_commands_; }
 
     // Opens the ledger, restores its calls and starts the links. The list of exchanges must be known. Throws
     // boost::system::system_error if it cannot listen.
@@ -30,7 +30,7 @@
     void stop();  // closes the links
     bool is_idle() const { return !links_ || links_->is_idle(); }
     // Leaves ledger, groups and calls to a successor process.
-    void retire();
+    void hand_over();
     // Applies those settings of the groups that may change in service: the times and the audit.
     void apply(const config::TrunkSettings& settings);
     // The group with this origin text; null: the call did not come over a group.
@@ -40,11 +40,11 @@
     boost::asio::io_context& io_;
     config::TrunkSettings settings_;
     calls::Gatekeeper& gatekeeper_;
-    trunk::Front::Time time_;
+    trunk::TrunkManager::Clock clock_;
     log::Log& log_;
     std::unique_ptr<store::TrunkLedger> ledger_;
-    trunk::Front front_;
-    trunk::Desk desk_;
+    trunk::TrunkManager trunk_manager_;
+    trunk::OperatorCommands operator_commands_;
     std::optional<net::TrunkLinks> links_;
 };
 
