--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration: what is read, what is taken for granted, and that a complaint names the key.
+// The configuration file: keys that are read, defaults, and error messages that name the faulty key.
 #include "config/config.hpp"
 
 #include <cstdlib>
@@ -14,25 +14,25 @@
     R"({"self_index":0,"fleet_size":2,"grades":[{"name":"move","aim_s":2,"deadline_s":9}],)"
     R"("limits":{"send_cap":5},"obligations":{}})";
 
-std::string file(const std::string& more, const std::string& settings = kSettings) {
-    return "{" + more + "\"settings\":" + settings + "}";
+std::string config_text(const std::string& keys, const std::string& settings = kSettings) {
+    return "{" + keys + "\"settings\":" + settings + "}";
 }
 
-std::string complaint(const std::string& text) {
+std::string error_of(const std::string& text) {
     try {
         config::parse_config(text);
-    } catch (const json::BadInput& problem) {
-        return problem.what();
+    } catch (const json::BadInput& error) {
+        return error.what();
     }
     return "";
 }
 
-bool names(const std::string& text, const std::string& key) {
-    return complaint(text).find("'" + key + "'") != std::string::npos;
+bool error_names(const std::string& text, const std::string& key) {
+    return error_of(text).find("'" + key + "'") != std::string::npos;
 }
 
-void all_is_read() {
-    const config::Config c = config::parse_config(file(
+void reads_every_key() {
+    const config::Config c = config::parse_config(config_text(
         R"("name":"n3","listen":"127.0.0.1:3868","feed":"127.0.0.2:4222","seed":"8c1f30d27a5be964",)"
         R"("limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"n":4,"events":[{"n":3,"members":)"
         R"({"version":1,"full":true,"servers":[)"
@@ -45,46 +45,49 @@
     CHECK(c.net.connect_time_out == std::chrono::milliseconds(500));
 }
 
-void what_is_missing_has_its_default() {
-    const config::Config c = config::parse_config(file(""));
+void applies_defaults_to_missing_keys() {
+    const config::Config c = config::parse_config(config_text(""));
     CHECK(c.memory_mb == 192 && c.max_sockets == 1024 && c.feed_address.empty() && c.last_event_number == 0 &&
           c.known_events.empty());
 }
 
-void a_complaint_names_the_key() {
-    CHECK(complaint("{").find("not JSON") == 0);
-    CHECK(complaint("[]") == "must be an object");
-    CHECK(names("{}", "settings"));
-    CHECK(names(file("\"name\":7,"), "name"));
-    CHECK(names(file("\"seed\":\"zz\","), "seed"));
-    CHECK(names(file("\"operator\":\"nowhere\","), "operator"));
-    CHECK(names(file("\"feed\":\"nowhere\","), "feed"));
-    CHECK(names(file("\"feed\":\"127.0.0.1:70000\","), "feed"));
-    CHECK(names(file("\"limits\":{\"sockets\":4},"), "sockets"));
-    CHECK(names(file("\"limits\":{\"memory_mb\":\"much\"},"), "memory_mb"));
-    CHECK(names(file("\"known\":{\"events\":[{\"n\":\"x\"}]},"), "n"));
-    CHECK(names(file("", R"({"self_index":0,"fleet_size":2,"grades":[],"obligations":{}})"), "limits"));
-    CHECK(names(file("", R"({"self_index":0,"fleet_size":2,"grades":[{"name":"m","deadline_s":9}],)"
-                         R"("limits":{},"obligations":{}})"),
-                "aim_s"));
-    CHECK(names(file("", R"({"self_index":0,"fleet_size":2,"grades":[{"name":"m","aim_s":1,"deadline_s":9}],)"
-                         R"("limits":{"dial_timeout_s":0},"obligations":{}})"),
-                "dial_timeout_s"));
+void error_names_the_key() {
+    CHECK(error_of("{").find("not JSON") == 0);
+    CHECK(error_of("[]") == "must be an object");
+    CHECK(error_names("{}", "settings"));
+    CHECK(error_names(config_text("\"name\":7,"), "name"));
+    CHECK(error_names(config_text("\"seed\":\"zz\","), "seed"));
+    CHECK(error_names(config_text("\"operator\":\"nowhere\","), "operator"));
+    CHECK(error_names(config_text("\"feed\":\"nowhere\","), "feed"));
+    CHECK(error_names(config_text("\"feed\":\"127.0.0.1:70000\","), "feed"));
+    CHECK(error_names(config_text("\"limits\":{\"sockets\":4},"), "sockets"));
+    CHECK(error_names(config_text("\"limits\":{\"memory_mb\":\"much\"},"), "memory_mb"));
+    CHECK(error_names(config_text("\"known\":{\"events\":[{\"n\":\"x\"}]},"), "n"));
+    CHECK(error_names(config_text("", R"({"self_index":0,"fleet_size":2,"grades":[],"obligations":{}})"),
+                      "limits"));
+    CHECK(error_names(
+        config_text("", R"({"self_index":0,"fleet_size":2,"grades":[{"name":"m","deadline_s":9}],)"
+                        R"("limits":{},"obligations":{}})"),
+        "aim_s"));
+    CHECK(error_names(
+        config_text("", R"({"self_index":0,"fleet_size":2,"grades":[{"name":"m","aim_s":1,"deadline_s":9}],)"
+                        R"("limits":{"dial_timeout_s":0},"obligations":{}})"),
+        "dial_timeout_s"));
 }
 
-void the_environment_names_the_file() {
+void error_names_the_missing_environment_variable() {
     unsetenv("BALANCER_CONFIG");
-    std::string said;
+    std::string message;
     try {
         config::load();
-    } catch (const json::BadInput& problem) {
-        said = problem.what();
+    } catch (const json::BadInput& error) {
+        message = error.what();
     }
-    CHECK(said.find("BALANCER_CONFIG") == 0);
+    CHECK(message.find("BALANCER_CONFIG") == 0);
 }
 
-// Before the kill, which comes 0.7 s after the longest deadline, or after 3.7 s where that is sooner.
-void the_end_comes_before_the_kill() {
+// The process is killed 0.7 s after the longest deadline, or after 3.7 s if that is sooner.
+void shutdown_ends_before_the_kill() {
     using std::chrono::milliseconds;
     config::Config c;
     c.settings.classes.resize(2);
@@ -97,9 +100,9 @@
 }  // namespace
 
 int main() {
-    all_is_read();
-    what_is_missing_has_its_default();
-    a_complaint_names_the_key();
-    the_environment_names_the_file();
-    the_end_comes_before_the_kill();
+    reads_every_key();
+    applies_defaults_to_missing_keys();
+    error_names_the_key();
+    error_names_the_missing_environment_variable();
+    shutdown_ends_before_the_kill();
 }
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -1,4 +1,5 @@
-// The program as a child process, and its peers on loopback sockets: callers, carrier switches, the feed.
+// Test kit: starts the gatekeeper as a child process and plays its peers over loopback sockets: callers,
+// carrier switches, the feed and operators.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,9 +22,9 @@
 
 using namespace nettlestall::protocol;
 
-constexpr int kReceiveTimeoutSeconds = 20;  // for anything that must come
+constexpr int kReceiveTimeoutSeconds = 20;  // a receive that takes longer fails its check
 
-// An address of this process's own, so that tests side by side do not meet.
+// A loopback address that depends on the process id, so that tests that run in parallel do not collide.
 inline std::string own_address() {
     const int pid = getpid();
     return "127." + std::to_string(64 + (pid >> 16 & 63)) + '.' + std::to_string(pid >> 8 & 255) + '.' +
@@ -38,12 +39,13 @@
     return to;
 }
 
+// Owns a socket and limits its receives to kReceiveTimeoutSeconds.
 class Fd {
    public:
     explicit Fd(int fd) : fd_(fd) {
         CHECK(fd >= 0);
-        const timeval patience{kReceiveTimeoutSeconds, 0};
-        setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        const timeval timeout{kReceiveTimeoutSeconds, 0};
+        setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     }
     Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
     Fd& operator=(Fd&& other) noexcept {
@@ -60,6 +62,7 @@
     int fd_;
 };
 
+// A copy of what the tests look at in a message.
 struct Received {
     MessageType type;
     CallId call;
@@ -67,12 +70,14 @@
     std::string description, number, service_class;
 };
 
+// One end of a TCP connection with the gatekeeper. A failed send or receive fails the test.
 class Peer {
    public:
     explicit Peer(int fd) : fd_(fd) {}
 
+    // Tries until the program listens. `from`: the local address to connect from.
     static Peer connect(int port, const char* from = nullptr) {
-        for (;;) {  // until the program listens
+        for (;;) {
             const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
             sockaddr_in source{};
             source.sin_family = AF_INET;
@@ -89,10 +94,10 @@
               static_cast<ssize_t>(bytes.size()));
     }
     void send(const Frame& frame) { send(frame.header + (frame.description ? *frame.description : "")); }
-    // The next message that is not merely polite.
+    // Waits for the next message other than a release complete.
     Received receive() {
         for (Message message;;) {
-            const MessageReader::Result next = inbox_.next(message);
+            const MessageReader::Result next = reader_.next(message);
             CHECK(next != MessageReader::Result::malformed);
             if (next == MessageReader::Result::message) {
                 if (message.type == MessageType::release_complete) continue;
@@ -103,25 +108,28 @@
                         std::string(message.text(ParameterCode::number)),
                         std::string(message.text(ParameterCode::service_class))};
             }
-            const auto space = inbox_.read_buffer();
+            const auto space = reader_.read_buffer();
             const ssize_t bytes = ::recv(fd_.get(), space.data(), space.size(), 0);
             CHECK(bytes > 0);
-            inbox_.add_bytes(static_cast<std::size_t>(bytes));
+            reader_.add_bytes(static_cast<std::size_t>(bytes));
         }
     }
-    // What has come by now; waits for nothing unless nothing has. False: the far end has closed.
+    // Passes the messages that have arrived to `handle`, after waiting for the first bytes. False: the far
+    // end has closed the connection.
     template <class F>
-    bool receive_available(F&& take) {
-        const auto space = inbox_.read_buffer();
+    bool receive_available(F&& handle) {
+        const auto space = reader_.read_buffer();
         const ssize_t bytes = ::recv(fd_.get(), space.data(), space.size(), 0);
         if (bytes <= 0) return false;
-        inbox_.add_bytes(static_cast<std::size_t>(bytes));
+        reader_.add_bytes(static_cast<std::size_t>(bytes));
         MessageReader::Result next;
-        for (Message message; (next = inbox_.next(message)) == MessageReader::Result::message;) take(message);
+        for (Message message; (next = reader_.next(message)) == MessageReader::Result::message;)
+            handle(message);
         CHECK(next == MessageReader::Result::incomplete);
         return true;
     }
     int fd() const { return fd_.get(); }
+    // Waits for the far end to close. False if it sends something instead.
     bool closed_by_far_end() {
         char byte = 0;
         const ssize_t bytes = ::recv(fd_.get(), &byte, 1, 0);
@@ -132,7 +140,7 @@
         for (char c = 0; c != '\n'; text += c) CHECK(::recv(fd_.get(), &c, 1, 0) == 1);
         return text;
     }
-    std::string read_all() {  // until the far end closes
+    std::string read_all() {  // until the far end closes the connection
         std::string text;
         for (char c = 0; ::recv(fd_.get(), &c, 1, 0) == 1;) text += c;
         return text;
@@ -141,9 +149,10 @@
 
    private:
     Fd fd_;
-    MessageReader inbox_;
+    MessageReader reader_;
 };
 
+// A listening socket on a free port.
 class Listener {
    public:
     Listener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -164,35 +173,39 @@
     int port_ = 0;
 };
 
+// A gatekeeper that runs as a child process; killed at the end if it still runs.
 class Program {
    public:
-    // `operators`: the operators' port; `shared`: the folder that it shares with the one before and after it.
-    // `file`: the operator's own file, if there is one; then it is `serve` that is run.
-    Program(const char* path, const std::string& config, int operators = 0, const std::string& shared = "",
-            const std::string& file = "")
-        : stem_("/tmp/program_test." + std::to_string(getpid()) + '.' + std::to_string(++count())) {
-        const std::string at = own_address() + ':' + std::to_string(operators);
+    // `operator_port`: of the operators' address, 0 for none. `shared_folder`: where it meets its predecessor
+    // and successor. `operator_file`: the path of the operator's file, if there is one; the subcommand
+    // `serve` is used then.
+    Program(const char* path, const std::string& config, int operator_port = 0,
+            const std::string& shared_folder = "", const std::string& operator_file = "")
+        : path_prefix_("/tmp/program_test." + std::to_string(getpid()) + '.' + std::to_string(++started())) {
+        const std::string operator_address = own_address() + ':' + std::to_string(operator_port);
         write_config(config);
         pid_ = fork();
         CHECK(pid_ >= 0);
         if (pid_ == 0) {
-            prctl(PR_SET_PDEATHSIG, SIGKILL);  // a check that fails must not leave it running
-            setenv("BALANCER_CONFIG", (stem_ + ".json").c_str(), 1);
+            prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test, also if a check fails
+            setenv("BALANCER_CONFIG", (path_prefix_ + ".json").c_str(), 1);
             unsetenv("BALANCER_LISTEN");
-            operators ? setenv("BALANCER_OPERATOR", at.c_str(), 1) : unsetenv("BALANCER_OPERATOR");
-            shared.empty() ? unsetenv("TMPDIR") : setenv("TMPDIR", shared.c_str(), 1);
-            dup2(open((stem_ + ".log").c_str(), O_CREAT | O_TRUNC | O_WRONLY, 0600), 2);
-            if (file.empty()) execl(path, path, nullptr);
-            execl(path, path, "serve", "--file", file.c_str(), nullptr);
+            operator_port ? setenv("BALANCER_OPERATOR", operator_address.c_str(), 1)
+                          : unsetenv("BALANCER_OPERATOR");
+            shared_folder.empty() ? unsetenv("TMPDIR") : setenv("TMPDIR", shared_folder.c_str(), 1);
+            dup2(open((path_prefix_ + ".log").c_str(), O_CREAT | O_TRUNC | O_WRONLY, 0600), 2);
+            if (operator_file.empty()) execl(path, path, nullptr);
+            execl(path, path, "serve", "--file", operator_file.c_str(), nullptr);
             _exit(127);
         }
     }
     ~Program() {
         if (pid_ > 0) ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
-        for (const char* end : {".json", ".log"}) unlink((stem_ + end).c_str());
+        for (const char* suffix : {".json", ".log"}) unlink((path_prefix_ + suffix).c_str());
     }
-    void write_config(const std::string& config) { std::ofstream(stem_ + ".json") << config; }
+    void write_config(const std::string& config) { std::ofstream(path_prefix_ + ".json") << config; }
     void signal(int number) { CHECK(::kill(pid_, number) == 0); }
+    // Waits for the program to end. The signal's number, negated, if a signal ended it.
     int exit_code() {
         int status = 0;
         CHECK(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
@@ -200,7 +213,7 @@
     }
     std::string log() const {
         std::stringstream text;
-        text << std::ifstream(stem_ + ".log").rdbuf();
+        text << std::ifstream(path_prefix_ + ".log").rdbuf();
         return text.str();
     }
     void await_log(const std::string& text) const {
@@ -208,29 +221,31 @@
     }
 
    private:
-    static int& count() {
+    static int& started() {
         static int programs = 0;
         return programs;
     }
 
-    std::string stem_;
+    std::string path_prefix_;
     pid_t pid_ = -1;
 };
 
+// A carrier switch of exchange `cell` as an entry of the feed's list.
 inline std::string switch_json(int cell, const std::string& address, const char* state = "active") {
     return R"({"id":"s-)" + std::to_string(cell) + R"(","addr":")" + address + R"(","cell":)" +
            std::to_string(cell) + R"(,"state":")" + state + R"(","started_ms":0})";
 }
 
+// An event of the feed; `servers`: the entries, separated by commas.
 inline std::string event_json(int number, bool full, const std::string& servers) {
     return R"({"n":)" + std::to_string(number) + R"(,"members":{"version":1,"full":)" +
            (full ? "true" : "false") + R"(,"servers":[)" + servers + "]}}";
 }
 
-inline std::string set_up(const CallId& call, int to, int patience_ms, const char* service_class = "move") {
+inline std::string set_up(const CallId& call, int to, int time_left_ms, const char* service_class = "move") {
     const Frame frame = FrameBuilder(MessageType::set_up, call)
                             .text(ParameterCode::service_class, service_class)
-                            .text(ParameterCode::time_left, std::to_string(patience_ms))
+                            .text(ParameterCode::time_left, std::to_string(time_left_ms))
                             .text(ParameterCode::number, "7f3a")
                             .text(ParameterCode::attributes, "dest:" + std::to_string(to) + ";width:1;via:-1")
                             .build(std::make_shared<const std::string>("offer of " + call));
@@ -250,25 +265,29 @@
     return FrameBuilder(MessageType::release, call).cause(cause).build();
 }
 
+// A load balancer's health check; the cause of the result is 1 if the gatekeeper is ready.
 inline Received health_check(Peer& caller) {
     caller.send(FrameBuilder(MessageType::health_check, "00000000000000aa").cause(0).build());
-    const Received heard = caller.receive();
-    CHECK(heard.type == MessageType::health_check_result && heard.call == "00000000000000aa");
-    return heard;
+    const Received reply = caller.receive();
+    CHECK(reply.type == MessageType::health_check_result && reply.call == "00000000000000aa");
+    return reply;
 }
 
-// An operator's call and its whole reply; the status is its second word.
-inline std::string operator_reply(int port, const std::string& call) {
+// Sends an operator's request, such as "GET /ready", and returns the whole reply; the status is its second
+// word.
+inline std::string operator_reply(int port, const std::string& request) {
     Peer peer = Peer::connect(port);
-    peer.send(call + " HTTP/1.1\r\nHost: gatekeeper\r\n\r\n");
+    peer.send(request + " HTTP/1.1\r\nHost: gatekeeper\r\n\r\n");
     return peer.read_all();
 }
 
-inline bool succeeds(int port, const std::string& call) {
-    return operator_reply(port, call).find(" 200 ") == 8;
+// Whether the reply to an operator's request has status 200.
+inline bool succeeds(int port, const std::string& request) {
+    return operator_reply(port, request).find(" 200 ") == 8;
 }
 
-// A long connect time-out keeps the program from taking a slow test for a silent switch.
+// The configuration of a gatekeeper with one carrier switch. `connect_time_out` is in seconds; a long one
+// keeps the program from treating the switch as silent when the test is slow.
 inline std::string config_json(int port, const Listener& feed, const Listener& at_switch,
                                const char* connect_time_out) {
     return R"({"name":"n","listen":")" + own_address() + ':' + std::to_string(port) + R"(","feed":")" +
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -1,4 +1,4 @@
-// What operators do in service, over loopback: the figures, a drain, an upgrade.
+// What operators do with a gatekeeper in service, over loopback sockets: metrics, drain, upgrade.
 #include <poll.h>
 #include <sys/stat.h>
 
@@ -15,255 +15,268 @@
 
 const CallId kOne = "0000000000000001", kTwo = "0000000000000002", kThree = "0000000000000003";
 
-bool has(const std::string& text, const std::string& part) {
+bool contains(const std::string& text, const std::string& part) {
     return text.find(part) != std::string::npos;
 }
 
-Peer* first_to_speak(Peer& a, Peer& b) {
+Peer* first_to_send(Peer& a, Peer& b) {
     pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
     CHECK(poll(both, 2, 1000 * kReceiveTimeoutSeconds) > 0);
     return both[0].revents ? &a : &b;
 }
 
-// One gatekeeper with a switch, the feed and an operators' address.
+// A gatekeeper with a carrier switch, the feed and an operators' address.
 struct Site {
-    explicit Site(const char* path, const std::string& shared = "")
+    explicit Site(const char* path, const std::string& shared_folder = "")
         : port(Listener().port()),
-          desk(Listener().port()),
-          program(path, config_json(port, feed_at, at, "10"), desk, shared),
-          at_switch(at.accept()),
-          feed(feed_at.accept()) {
-        at_switch.send(group_state("x0:9;x1:9"));
-        while (!succeeds(desk, "GET /ready")) usleep(5000);
+          operator_port(Listener().port()),
+          program(path, config_json(port, feed_listener, switch_listener, "10"), operator_port,
+                  shared_folder),
+          carrier_switch(switch_listener.accept()),
+          feed(feed_listener.accept()) {
+        carrier_switch.send(group_state("x0:9;x1:9"));
+        while (!succeeds(operator_port, "GET /ready")) usleep(5000);
     }
-    void stands(Peer& caller, const CallId& call) {
+    void set_up_answered(Peer& caller, const CallId& call) {
         caller.send(set_up(call, 1, 20'000));
-        CHECK(at_switch.receive().call == call);
-        at_switch.send(answer(call));
+        CHECK(carrier_switch.receive().call == call);
+        carrier_switch.send(answer(call));
         CHECK(caller.receive().type == MessageType::answer);
     }
 
-    Listener at, feed_at;
-    int port, desk;
+    Listener switch_listener, feed_listener;
+    int port, operator_port;
     Program program;
-    Peer at_switch, feed;
+    Peer carrier_switch, feed;
 };
 
-void figures_tell_what_passed(const char* path) {
+void metrics_count_calls(const char* path) {
     Site site(path);
-    std::string figures = operator_reply(site.desk, "GET /metrics");
-    for (const char* end : {"success:0|c", "overload:0|c", "error:0|c"})
-        CHECK(has(figures, std::string("app.replies.move.") + end));
-    CHECK(has(figures, "app.dispatches:0|c") && has(figures, "app.concurrent:0|g"));
-    CHECK(has(figures, "app.targets:1|g\napp.targets_disabled:0|g"));
+    std::string metrics = operator_reply(site.operator_port, "GET /metrics");
+    for (const char* suffix : {"success:0|c", "overload:0|c", "error:0|c"})
+        CHECK(contains(metrics, std::string("app.replies.move.") + suffix));
+    CHECK(contains(metrics, "app.dispatches:0|c") && contains(metrics, "app.concurrent:0|g"));
+    CHECK(contains(metrics, "app.targets:1|g\napp.targets_disabled:0|g"));
 
     Peer caller = Peer::connect(site.port);
-    site.stands(caller, kOne);
-    site.at_switch.send(group_state("x0:0;x1:9"));  // read before the release that follows it
-    site.at_switch.send(release(kOne, 16));
+    site.set_up_answered(caller, kOne);
+    site.carrier_switch.send(group_state("x0:0;x1:9"));  // read before the release that follows it
+    site.carrier_switch.send(release(kOne, 16));
     CHECK(caller.receive().call == kOne);
     caller.send(set_up(kTwo, 1, 200));
     CHECK(caller.receive().cause == 34);
     const std::string wide = set_up(kThree, 1, 200);
     caller.send(std::string(wide).replace(wide.find("width:1"), 7, "width:7"));
     CHECK(caller.receive().cause == 47);
-    site.feed.send(event_json(2, false, switch_json(1, site.at.address(), "leaving")) + "\n");
-    while (!has(figures, "targets_disabled:1|g")) figures = operator_reply(site.desk, "GET /metrics");
-    CHECK(has(figures, "move.success:1|c") && has(figures, "move.overload:1|c"));
-    CHECK(has(figures, "move.error:1|c") && has(figures, "dispatches:1|c"));
-    CHECK(has(figures, "concurrent:0|g") && has(figures, "targets:1|g"));
+    site.feed.send(event_json(2, false, switch_json(1, site.switch_listener.address(), "leaving")) + "\n");
+    while (!contains(metrics, "targets_disabled:1|g"))
+        metrics = operator_reply(site.operator_port, "GET /metrics");
+    CHECK(contains(metrics, "move.success:1|c") && contains(metrics, "move.overload:1|c"));
+    CHECK(contains(metrics, "move.error:1|c") && contains(metrics, "dispatches:1|c"));
+    CHECK(contains(metrics, "concurrent:0|g") && contains(metrics, "targets:1|g"));
 }
 
-// Operators get their answer though others hold all the connections that their address has.
-void silent_operators_make_room(const char* path) {
+// Connections that never send a request must not keep operators out when they hold all 16 places.
+void closes_silent_operator_connections_for_new_ones(const char* path) {
     Site site(path);
     std::vector<Peer> silent;
-    for (int i = 0; i < 30; ++i) silent.push_back(Peer::connect(site.desk));
-    CHECK(succeeds(site.desk, "GET /ready"));
+    for (int i = 0; i < 30; ++i) silent.push_back(Peer::connect(site.operator_port));
+    CHECK(succeeds(site.operator_port, "GET /ready"));
     CHECK(silent.front().closed_by_far_end());
-    silent.back().send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");  // slow, but whole in the end
-    CHECK(has(silent.back().read_all(), " 200 "));
-    CHECK(has(operator_reply(site.desk, "GET /drain"), " 405 ") && succeeds(site.desk, "GET /ready"));
+    silent.back().send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");  // a late request is answered
+    CHECK(contains(silent.back().read_all(), " 200 "));
+    CHECK(contains(operator_reply(site.operator_port, "GET /drain"), " 405 ") &&
+          succeeds(site.operator_port, "GET /ready"));
 }
 
-void a_drain_sends_callers_away(const char* path) {
+// A drain closes each caller's connection as soon as it has no call; set-ups that were accepted are answered.
+void drain_closes_callers_connections(const char* path) {
     Site site(path);
     Peer idle = Peer::connect(site.port), busy = Peer::connect(site.port), open = Peer::connect(site.port);
     CHECK(health_check(idle).cause == 1);
-    site.stands(busy, kOne);
+    site.set_up_answered(busy, kOne);
     open.send(set_up(kTwo, 1, 20'000));
-    CHECK(site.at_switch.receive().call == kTwo);
-    CHECK(succeeds(site.desk, "POST /drain") && succeeds(site.desk, "POST /drain"));
-    CHECK(!succeeds(site.desk, "GET /ready"));
+    CHECK(site.carrier_switch.receive().call == kTwo);
+    CHECK(succeeds(site.operator_port, "POST /drain") && succeeds(site.operator_port, "POST /drain"));
+    CHECK(!succeeds(site.operator_port, "GET /ready"));
     CHECK(idle.closed_by_far_end());
-    // What was taken gets its real answer. Where a call stands, its release finds the connection.
-    site.at_switch.send(answer(kTwo));
+    // An accepted set-up gets its answer. A connection with a standing call stays open for the call's
+    // release.
+    site.carrier_switch.send(answer(kTwo));
     CHECK(open.receive().description == "media\r\n of " + kTwo);
-    // A connection that never pauses is served on for some time. Then its set-ups are refused at once.
+    // A connection that keeps sending set-ups is served for some time; then they are refused at once.
     int served = 0;
     for (CallId call;; ++served) {
         call = "00000000000001" + std::to_string(10 + served);
         busy.send(set_up(call, 1, 20'000));
-        if (first_to_speak(busy, site.at_switch) == &busy) {
-            const Received heard = busy.receive();
-            CHECK(heard.type == MessageType::release && heard.cause == 34 && heard.call == call);
+        if (first_to_send(busy, site.carrier_switch) == &busy) {
+            const Received received = busy.receive();
+            CHECK(received.type == MessageType::release && received.cause == 34 && received.call == call);
             break;
         }
-        CHECK(site.at_switch.receive().call == call);
-        site.at_switch.send(group_state("x0:9;x1:9"));
-        site.at_switch.send(answer(call));
+        CHECK(site.carrier_switch.receive().call == call);
+        site.carrier_switch.send(group_state("x0:9;x1:9"));
+        site.carrier_switch.send(answer(call));
         CHECK(busy.receive().type == MessageType::answer);
-        site.at_switch.send(release(call, 16));
+        site.carrier_switch.send(release(call, 16));
         CHECK(busy.receive().cause == 16);
         usleep(30'000);
     }
     CHECK(served > 0);
-    site.at_switch.send(release(kOne, 16));
+    site.carrier_switch.send(release(kOne, 16));
     CHECK(busy.receive().cause == 16 && busy.closed_by_far_end());
 
-    CHECK(succeeds(site.desk, "POST /undrain") && succeeds(site.desk, "GET /ready"));
+    CHECK(succeeds(site.operator_port, "POST /undrain") && succeeds(site.operator_port, "GET /ready"));
     Peer again = Peer::connect(site.port);
     CHECK(health_check(again).cause == 1);
-    site.stands(again, kThree);
+    site.set_up_answered(again, kThree);
     site.program.signal(SIGTERM);
-    while (succeeds(site.desk, "GET /ready")) usleep(5000);
+    while (succeeds(site.operator_port, "GET /ready")) usleep(5000);
 }
 
-// A folder that processes share.
+// A folder that predecessor and successor share for the hand-over.
 struct Folder {
     Folder() : path("/tmp/operations_test." + std::to_string(getpid())) { mkdir(path.c_str(), 0700); }
     ~Folder() {
-        for (const char* end : {"", ".new"})
-            unlink((path + "/nettlestall-" + socket + ".sock" + end).c_str());
+        for (const char* suffix : {"", ".new"})
+            unlink((path + "/nettlestall-" + socket + ".sock" + suffix).c_str());
         rmdir(path.c_str());
     }
     std::string path, socket;
 };
 
-// A process that starts beside the one that serves.
-struct Next {
-    Next(const char* path, Site& site, const Folder& folder)
-        : desk(Listener().port()),
-          program(path, config_json(site.port, site.feed_at, site.at, "10"), desk, folder.path),
-          at_switch(site.at.accept()),
-          feed(site.feed_at.accept()) {}
+// A second process that starts while the site's process serves.
+struct Successor {
+    Successor(const char* path, Site& site, const Folder& folder)
+        : operator_port(Listener().port()),
+          program(path, config_json(site.port, site.feed_listener, site.switch_listener, "10"), operator_port,
+                  folder.path),
+          carrier_switch(site.switch_listener.accept()),
+          feed(site.feed_listener.accept()) {}
     void prepare() {
-        at_switch.send(group_state("x0:9;x1:9"));
+        carrier_switch.send(group_state("x0:9;x1:9"));
         CHECK(feed.read_line() == "SUB 1\n");
         feed.send(std::string("1\n"));
-        while (!succeeds(desk, "GET /ready")) usleep(5000);
+        while (!succeeds(operator_port, "GET /ready")) usleep(5000);
     }
-    int desk;
+    int operator_port;
     Program program;
-    Peer at_switch, feed;
+    Peer carrier_switch, feed;
 };
 
-void an_upgrade_loses_nothing(const char* path) {
+// The calls and connections of callers must survive the upgrade to another process, and new calls too must be
+// served at any time.
+void upgrade_keeps_calls_and_connections(const char* path) {
     Folder folder;
     Site site(path, folder.path);
     folder.socket = own_address() + ':' + std::to_string(site.port);
     Peer quiet = Peer::connect(site.port), busy = Peer::connect(site.port);
-    site.stands(quiet, kOne);
+    site.set_up_answered(quiet, kOne);
     busy.send(set_up(kTwo, 1, 20'000));
-    CHECK(site.at_switch.receive().call == kTwo);
-    const std::string cut = set_up(kThree, 1, 20'000);
-    quiet.send(cut.substr(0, 30));
+    CHECK(site.carrier_switch.receive().call == kTwo);
+    const std::string partial = set_up(kThree, 1, 20'000);
+    quiet.send(partial.substr(0, 30));
 
-    Next next(path, site, folder);
-    CHECK(!succeeds(next.desk, "GET /ready") && succeeds(site.desk, "GET /ready"));
-    next.prepare();
-    // A connection without an open set-up has moved, with half a message; the other one has its answer first.
-    while (!has(site.program.log(), " client_connections_passed_on=1 "))
+    Successor successor(path, site, folder);
+    CHECK(!succeeds(successor.operator_port, "GET /ready") && succeeds(site.operator_port, "GET /ready"));
+    successor.prepare();
+    // The connection without an open set-up has been passed on, with an incomplete message. The other one
+    // stays until its set-up is answered.
+    while (!contains(site.program.log(), " client_connections_passed_on=1 "))
         site.program.signal(SIGUSR1), usleep(5000);
-    quiet.send(cut.substr(30));
-    CHECK(next.at_switch.receive().call == kThree);
-    next.at_switch.send(answer(kThree));
+    quiet.send(partial.substr(30));
+    CHECK(successor.carrier_switch.receive().call == kThree);
+    successor.carrier_switch.send(answer(kThree));
     CHECK(quiet.receive().call == kThree);
     CHECK(health_check(busy).cause == 1);
-    site.at_switch.send(answer(kTwo));
+    site.carrier_switch.send(answer(kTwo));
     CHECK(busy.receive().type == MessageType::answer);
-    // What ends on the old one's connection is told by the new one; what callers end goes by the new one.
-    site.at_switch.send(release(kOne, 16));
-    const Received heard = first_to_speak(quiet, busy)->receive();  // the same caller's, whichever
-    CHECK(heard.call == kOne && heard.cause == 16);
+    // A release by the predecessor's connection to the switch reaches the caller through the successor, and a
+    // caller's release goes through the successor.
+    site.carrier_switch.send(release(kOne, 16));
+    const Received received =
+        first_to_send(quiet, busy)->receive();  // both are the same caller's connections
+    CHECK(received.call == kOne && received.cause == 16);
     busy.send(release(kTwo, 16));
-    CHECK(next.at_switch.receive().call == kTwo);
-    // The front's tests pass to the end, and nothing ends but the old one.
+    CHECK(successor.carrier_switch.receive().call == kTwo);
+    // Health checks succeed throughout, and the end of the predecessor affects no call.
     Peer open = Peer::connect(site.port);
     open.send(set_up(kTwo, 1, 20'000));
-    CHECK(next.at_switch.receive().call == kTwo);
+    CHECK(successor.carrier_switch.receive().call == kTwo);
     site.program.signal(SIGTERM);
     CHECK(site.program.exit_code() == 0);
     CHECK(health_check(busy).cause == 1 && health_check(quiet).cause == 1);
-    next.at_switch.send(answer(kTwo));
+    successor.carrier_switch.send(answer(kTwo));
     CHECK(open.receive().type == MessageType::answer);
-    CHECK(has(operator_reply(next.desk, "GET /metrics"), "move.success:2|c"));
-    CHECK(has(site.program.log(), " client_connections_passed_on=2 "));
-    next.program.signal(SIGKILL);  // what it leaves behind is in nobody's way
-    CHECK(next.program.exit_code() == -SIGKILL);
-    Next fresh(path, site, folder);
+    CHECK(contains(operator_reply(successor.operator_port, "GET /metrics"), "move.success:2|c"));
+    CHECK(contains(site.program.log(), " client_connections_passed_on=2 "));
+    successor.program.signal(SIGKILL);  // its socket file stays and must not disturb the next process
+    CHECK(successor.program.exit_code() == -SIGKILL);
+    Successor fresh(path, site, folder);
     fresh.prepare();
     Peer again = Peer::connect(site.port);
     CHECK(health_check(again).cause == 1);
 }
 
-void a_successor_that_dies_changes_nothing(const char* path) {
+// A successor that dies before or after it has taken over leaves the predecessor in service.
+void serves_on_after_its_successor_died(const char* path) {
     Folder folder;
     Site site(path, folder.path);
     folder.socket = own_address() + ':' + std::to_string(site.port);
     {
-        Next early(path, site, folder);  // before it was ready
-        CHECK(!succeeds(early.desk, "GET /ready"));
+        Successor early(path, site, folder);  // dies before it is ready
+        CHECK(!succeeds(early.operator_port, "GET /ready"));
     }
     std::optional<Peer> caller(Peer::connect(site.port));
-    site.stands(*caller, kOne);
+    site.set_up_answered(*caller, kOne);
     {
-        Next late(path, site, folder);  // after it has taken over
+        Successor late(path, site, folder);  // dies after it has taken over
         late.prepare();
-        while (!has(operator_reply(late.desk, "GET /metrics"), "concurrent:1|g")) usleep(5000);
+        while (!contains(operator_reply(late.operator_port, "GET /metrics"), "concurrent:1|g")) usleep(5000);
     }
     caller.reset();
     Peer second = Peer::connect(site.port);
     CHECK(health_check(second).cause == 1);
-    site.stands(second, kTwo);
-    Next good(path, site, folder);
+    site.set_up_answered(second, kTwo);
+    Successor good(path, site, folder);
     good.prepare();
-    good.at_switch.send(release(kTwo, 16));
+    good.carrier_switch.send(release(kTwo, 16));
     CHECK(second.receive().call == kTwo);
 }
 
-// The configuration of the new process is old, and the feed says nothing to it at first.
-void a_new_process_says_yes_on_a_fresh_list(const char* path) {
+// The successor's configuration file holds an old list, and the feed is silent at first. If the successor
+// took over with the old list, it would not know the switches that were added since.
+void successor_waits_for_a_current_list(const char* path) {
     Folder folder;
     Site site(path, folder.path);
     folder.socket = own_address() + ':' + std::to_string(site.port);
-    Listener second, third;
-    site.feed.send(event_json(2, false, switch_json(2, second.address())) + "\n");
-    Peer old_second = second.accept();
-    old_second.send(group_state("x0:9;x1:9"));
+    Listener second_listener, third_listener;
+    site.feed.send(event_json(2, false, switch_json(2, second_listener.address())) + "\n");
+    Peer second_switch = second_listener.accept();
+    second_switch.send(group_state("x0:9;x1:9"));
 
-    const auto begun = std::chrono::steady_clock::now();
-    Next next(path, site, folder);
-    next.at_switch.send(group_state("x0:9;x1:9"));
-    Peer at_second = second.accept();  // it knows what the old one knows
-    at_second.send(group_state("x0:9;x1:9"));
-    CHECK(has(next.feed.read_line(), "SUB "));
-    Peer again = site.feed_at.accept();  // it asks once more
+    const auto start = std::chrono::steady_clock::now();
+    Successor successor(path, site, folder);
+    successor.carrier_switch.send(group_state("x0:9;x1:9"));
+    Peer second_of_successor = second_listener.accept();  // from the predecessor's list
+    second_of_successor.send(group_state("x0:9;x1:9"));
+    CHECK(contains(successor.feed.read_line(), "SUB "));
+    Peer again = site.feed_listener.accept();  // connects again after the silence
     CHECK(again.read_line() == "SUB 2\n");
-    // It waits for the feed, though the groups are known. Checked only where this machine was quick enough:
-    // past 4.5 s it waits no longer.
-    const bool yes = succeeds(next.desk, "GET /ready");
-    if (std::chrono::steady_clock::now() - begun < std::chrono::seconds(4)) CHECK(!yes);
-    again.send(event_json(3, false, switch_json(3, third.address())) + "\n");
-    Peer at_third = third.accept();
-    at_third.send(group_state("x0:9;x1:9"));
-    while (!succeeds(next.desk, "GET /ready")) usleep(5000);
-    CHECK(has(operator_reply(next.desk, "GET /metrics"), "app.targets:3|g"));
+    // It waits for the feed although all groups are known. Checked only if less than 4 s have passed:
+    // after 4.5 s it stops waiting.
+    const bool is_ready = succeeds(successor.operator_port, "GET /ready");
+    if (std::chrono::steady_clock::now() - start < std::chrono::seconds(4)) CHECK(!is_ready);
+    again.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
+    Peer third_of_successor = third_listener.accept();
+    third_of_successor.send(group_state("x0:9;x1:9"));
+    while (!succeeds(successor.operator_port, "GET /ready")) usleep(5000);
+    CHECK(contains(operator_reply(successor.operator_port, "GET /metrics"), "app.targets:3|g"));
 }
 
-// While the old one still holds connections, the new one has only the rest of the places that are for
-// callers.
-void two_processes_keep_to_one_cap(const char* path) {
+// While the predecessor still has connections, the bound on callers' connections holds for both processes
+// together: they share the machine's descriptors.
+void both_processes_share_one_connection_bound(const char* path) {
     Folder folder;
     Site site(path, folder.path);  // 40 descriptors: 20 callers
     folder.socket = own_address() + ':' + std::to_string(site.port);
@@ -272,9 +285,9 @@
         open.push_back(Peer::connect(site.port));
         open.back().send(set_up("00000000000000" + std::to_string(10 + i), 1, 20'000));
     }
-    while (!has(operator_reply(site.desk, "GET /metrics"), "concurrent:15|g")) usleep(5000);
-    Next next(path, site, folder);
-    next.prepare();
+    while (!contains(operator_reply(site.operator_port, "GET /metrics"), "concurrent:15|g")) usleep(5000);
+    Successor successor(path, site, folder);
+    successor.prepare();
     for (int i = 0; i < 30; ++i) {
         more.push_back(Peer::connect(site.port));
         CHECK(health_check(more.back()).cause == 1);
@@ -283,24 +296,24 @@
     CHECK(health_check(more.back()).cause == 1);
 }
 
-void a_process_without_a_feed_does_not_wait_for_it() {
+void is_synchronized_without_a_feed() {
     boost::asio::io_context io;
     nettlestall::Counters counters;
-    const nettlestall::net::FeedClient none(
+    const nettlestall::net::FeedClient feed(
         io, std::nullopt, 0, [](const nettlestall::ListEvent&) {}, 1000, counters);
-    CHECK(none.is_synchronized());
+    CHECK(feed.is_synchronized());
 }
 
 }  // namespace
 
 int main(int count, char** arguments) {
     CHECK(count == 2);
-    figures_tell_what_passed(arguments[1]);
-    silent_operators_make_room(arguments[1]);
-    a_drain_sends_callers_away(arguments[1]);
-    an_upgrade_loses_nothing(arguments[1]);
-    a_successor_that_dies_changes_nothing(arguments[1]);
-    a_new_process_says_yes_on_a_fresh_list(arguments[1]);
-    two_processes_keep_to_one_cap(arguments[1]);
-    a_process_without_a_feed_does_not_wait_for_it();
+    metrics_count_calls(arguments[1]);
+    closes_silent_operator_connections_for_new_ones(arguments[1]);
+    drain_closes_callers_connections(arguments[1]);
+    upgrade_keeps_calls_and_connections(arguments[1]);
+    serves_on_after_its_successor_died(arguments[1]);
+    successor_waits_for_a_current_list(arguments[1]);
+    both_processes_share_one_connection_bound(arguments[1]);
+    is_synchronized_without_a_feed();
 }
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -1,5 +1,6 @@
-// Starts the program and speaks to it over loopback sockets, as callers, a carrier switch and the feed do.
-// Waits for what must come and never for a span of time, so that a busy machine only makes it slower.
+// Runs the gatekeeper as a child process and plays callers, carrier switches and the feed over loopback
+// sockets. The tests wait for messages and log lines, never for a span of time, so that a busy machine only
+// slows them.
 #include "loopback.hpp"
 
 using namespace nettlestall::test;
@@ -7,85 +8,87 @@
 
 namespace {
 
-void bad_config_is_told_and_ends_it(const char* path) {
+void ends_with_an_error_on_a_bad_configuration(const char* path) {
     Program program(path, R"({"listen":"127.0.0.1:0","settings":{"limits":7}})");
     CHECK(program.exit_code() == 1);
     CHECK(program.log().find("'limits' must be an object") != std::string::npos);
 }
 
-// A cut link says nothing: without a further connection the releases of dropped calls never came.
-void a_silent_switch_is_dialled_anew(const char* path) {
-    Listener at, feed_at;
+// Over a cut link nothing arrives, not even an error. Unless the gatekeeper opened a second connection, the
+// releases of calls that the switch has dropped would never reach it.
+void dials_a_silent_switch_again(const char* path) {
+    Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path, config_json(port, feed_at, at, "0.1"));
-    Peer at_switch = at.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Program program(path, config_json(port, feed_listener, switch_listener, "0.1"));
+    Peer carrier_switch = switch_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
     caller.send(set_up("0000000000000001", 1, 20'000));
-    CHECK(at.accept().fd() >= 0);
+    CHECK(switch_listener.accept().fd() >= 0);
 }
 
-// The file is replaced in service. A faulty one changes nothing; a good one moves the feed, whose numbers go
-// on, and a call that is out meanwhile gets its answer.
-void it_takes_a_new_configuration(const char* path) {
-    Listener first, second, third, feed_at, moved_to;
+// A faulty file changes nothing. A valid one changes the feed's address; the feed is resumed behind the last
+// known event, and a set-up that is pending at that time gets its answer.
+void reloads_the_configuration(const char* path) {
+    Listener first_listener, second_listener, third_listener, feed_listener, new_feed_listener;
     const int port = Listener().port();
-    Program program(path, config_json(port, feed_at, first, "10"));
-    Peer feed = feed_at.accept();
+    Program program(path, config_json(port, feed_listener, first_listener, "10"));
+    Peer feed = feed_listener.accept();
     CHECK(feed.read_line() == "SUB 1\n");
-    Peer at_switch = first.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Peer carrier_switch = first_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
     const CallId one = "0000000000000001", two = "0000000000000002";
     caller.send(set_up(one, 1, 20'000));
-    CHECK(at_switch.receive().call == one);
+    CHECK(carrier_switch.receive().call == one);
 
-    program.write_config(config_json(port, moved_to, first, "-1"));
+    program.write_config(config_json(port, new_feed_listener, first_listener, "-1"));
     program.signal(SIGHUP);
     program.await_log("'dial_timeout_s' must be more than 0");
-    program.write_config(config_json(port + 1, moved_to, first, "10"));
+    program.write_config(config_json(port + 1, new_feed_listener, first_listener, "10"));
     program.signal(SIGHUP);
     program.await_log("'listen' must be the same until a restart");
-    feed.send(event_json(2, false, switch_json(2, second.address())) + "\n");
-    Peer at_second = second.accept();
+    feed.send(event_json(2, false, switch_json(2, second_listener.address())) + "\n");
+    Peer second_switch = second_listener.accept();
 
-    program.write_config(config_json(port, moved_to, first, "10"));
+    program.write_config(config_json(port, new_feed_listener, first_listener, "10"));
     program.signal(SIGHUP);
-    Peer moved = moved_to.accept();
-    CHECK(moved.read_line() == "SUB 2\n");
+    Peer new_feed = new_feed_listener.accept();
+    CHECK(new_feed.read_line() == "SUB 2\n");
     CHECK(feed.closed_by_far_end());
-    moved.send(event_json(3, false, switch_json(3, third.address())) + "\n");
-    Peer at_third = third.accept();
-    at_switch.send(group_state("x0:0;x1:9"));  // else it could be the tandem, until the other group is known
-    at_switch.send(answer(one));
+    new_feed.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
+    Peer third_switch = third_listener.accept();
+    carrier_switch.send(group_state(
+        "x0:0;x1:9"));  // otherwise it could serve as the tandem until the other group's state is known
+    carrier_switch.send(answer(one));
     CHECK(caller.receive().description == "media\r\n of " + one);
-    at_third.send(group_state("x0:9;x1:9"));
+    third_switch.send(group_state("x0:9;x1:9"));
     caller.send(set_up(two, 3, 20'000));
-    CHECK(at_third.receive().call == two);
+    CHECK(third_switch.receive().call == two);
     program.signal(SIGUSR1);
     program.await_log(" reloads=1 reloads_refused=2 ");
 }
 
-// Seen from outside: calls whose end never comes stop at a bound that follows from the memory limit.
-void standing_calls_have_a_bound(const char* path) {
-    Listener at, feed_at;
+// Calls that are never released must not fill the memory: their number is bounded by the memory limit.
+void bounds_the_number_of_standing_calls(const char* path) {
+    Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    std::string small = config_json(port, feed_at, at, "10");
-    small.replace(small.find("\"sockets\":40"), 12, "\"sockets\":40,\"memory_mb\":1");
-    Program program(path, small);
-    Peer at_switch = at.accept();
-    at_switch.send(group_state("x0:900;x1:900"));
+    std::string small_config = config_json(port, feed_listener, switch_listener, "10");
+    small_config.replace(small_config.find("\"sockets\":40"), 12, "\"sockets\":40,\"memory_mb\":1");
+    Program program(path, small_config);
+    Peer carrier_switch = switch_listener.accept();
+    carrier_switch.send(group_state("x0:900;x1:900"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
-    const int most = 1024 * 1024 / 5 / 800;
-    for (int i = 1; i <= most; ++i) {
+    const int max_calls = 1024 * 1024 / 5 / 800;
+    for (int i = 1; i <= max_calls; ++i) {
         char call[17];
         std::snprintf(call, sizeof call, "%016x", i);
         caller.send(set_up(call, 1, 20'000));
-        CHECK(at_switch.receive().call == call);
-        at_switch.send(answer(call));
+        CHECK(carrier_switch.receive().call == call);
+        carrier_switch.send(answer(call));
         CHECK(caller.receive().type == MessageType::answer);
     }
     const CallId last = "0000000000000001";
@@ -94,178 +97,184 @@
     CHECK(refused.type == MessageType::release && refused.cause == 34);
     program.await_log("the table is full with 262 calls; the oldest: 0000000000000001 at s-1");
     caller.send(release(last, 16));
-    CHECK(at_switch.receive().call == last);
+    CHECK(carrier_switch.receive().call == last);
     caller.send(set_up("000000000000fffe", 1, 20'000));
-    CHECK(at_switch.receive().type == MessageType::set_up);
+    CHECK(carrier_switch.receive().type == MessageType::set_up);
 }
 
-// Connections that are held for nothing cost no ordinary caller a place: neither by their number nor for
-// good.
-void idle_connections_make_room(const char* path) {
-    Listener at, feed_at;
+// Connections that never ask for anything would keep callers out once they hold all descriptors for callers.
+// They are closed for new connections, and after some seconds in any case.
+void closes_unused_connections_for_new_callers(const char* path) {
+    Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path, config_json(port, feed_at, at, "10"));  // 40 descriptors: 20 callers
-    Peer at_switch = at.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Program program(path,
+                    config_json(port, feed_listener, switch_listener, "10"));  // 40 descriptors: 20 callers
+    Peer carrier_switch = switch_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
     const CallId one = "0000000000000001";
     caller.send(set_up(one, 1, 20'000));
-    CHECK(at_switch.receive().call == one);
+    CHECK(carrier_switch.receive().call == one);
 
     std::vector<Peer> silent;
     for (int i = 0; i < 60; ++i) silent.push_back(Peer::connect(port));
     Peer second = Peer::connect(port);
     CHECK(health_check(second).cause == 1);
-    silent.back().send(set_up(one, 1, 20'000).substr(0, 20));  // and half a message
+    silent.back().send(set_up(one, 1, 20'000).substr(0, 20));  // an incomplete message
     for (Peer& peer : silent) CHECK(peer.closed_by_far_end());
-    // The one with an open set-up and the one that once asked stay.
+    // The connection with an open set-up and the one that has sent a request are still open.
     CHECK(health_check(second).cause == 1);
-    at_switch.send(answer(one));
+    carrier_switch.send(answer(one));
     CHECK(caller.receive().call == one);
     program.signal(SIGUSR1);
     program.await_log(" client_connections_turned_away=0 ");
 }
 
-// In a crowd of callers that asked once and stay, releases still find the connection of their call, though
-// its caller holds more connections than any other.
-void a_crowd_displaces_no_standing_call(const char* path) {
-    Listener at, feed_at;
+// A call's release is sent on the connection of its set-up. That connection must not be displaced, although
+// its caller holds more connections than any other and 60 further callers, which all have sent a request,
+// need places.
+void keeps_connections_with_standing_calls(const char* path) {
+    Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path, config_json(port, feed_at, at, "10"));  // 40 descriptors: 20 callers
-    Peer at_switch = at.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Program program(path,
+                    config_json(port, feed_listener, switch_listener, "10"));  // 40 descriptors: 20 callers
+    Peer carrier_switch = switch_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port), spare = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
     const CallId one = "0000000000000001", two = "0000000000000002";
     spare.send(set_up(two, 1, 20'000));
-    CHECK(at_switch.receive().call == two);
+    CHECK(carrier_switch.receive().call == two);
     caller.send(set_up(one, 1, 20'000));
-    CHECK(at_switch.receive().call == one);
-    at_switch.send(answer(one));
+    CHECK(carrier_switch.receive().call == one);
+    carrier_switch.send(answer(one));
     CHECK(caller.receive().type == MessageType::answer);
     std::vector<Peer> crowd;
     for (int i = 1; i <= 60; ++i) {
         crowd.push_back(Peer::connect(port, ("127.1.0." + std::to_string(i)).c_str()));
-        CHECK(health_check(crowd.back()).cause == 1);  // each is let in, however new
+        CHECK(health_check(crowd.back()).cause == 1);  // each new connection is accepted
     }
-    at_switch.send(release(one, 16));
-    const Received heard = caller.receive();
-    CHECK(heard.type == MessageType::release && heard.call == one);
+    carrier_switch.send(release(one, 16));
+    const Received received = caller.receive();
+    CHECK(received.type == MessageType::release && received.call == one);
 }
 
-// An answer stops short and the connection stays open: what is out there would wait behind it for ever.
-void a_halted_connection_is_closed(const char* path) {
-    Listener at, feed_at;
+// A switch's answer stops half-way and the connection stays open: all further answers on it would wait behind
+// it for ever.
+void closes_a_connection_with_a_stalled_message(const char* path) {
+    Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path, config_json(port, feed_at, at, "1"));
-    Peer at_switch = at.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Program program(path, config_json(port, feed_listener, switch_listener, "1"));
+    Peer carrier_switch = switch_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
     const CallId one = "0000000000000001";
     caller.send(set_up(one, 1, 20'000));
-    CHECK(at_switch.receive().call == one);
-    const Frame whole = answer(one);
-    at_switch.send(whole.header.substr(0, 9));
-    Peer again = at.accept();
+    CHECK(carrier_switch.receive().call == one);
+    const Frame answer_frame = answer(one);
+    carrier_switch.send(answer_frame.header.substr(0, 9));
+    Peer again = switch_listener.accept();
     again.send(group_state("x0:9;x1:9"));
-    CHECK(at_switch.closed_by_far_end());
-    Received heard = again.receive();  // should its answer have been lost, it stands for nobody
-    CHECK(heard.type == MessageType::release && heard.call == one);
-    heard = again.receive();
-    CHECK(heard.type == MessageType::set_up && heard.call == one);
-    again.send(whole);
+    CHECK(carrier_switch.closed_by_far_end());
+    Received received = again.receive();  // its answer may have been lost; nobody would use the call
+    CHECK(received.type == MessageType::release && received.call == one);
+    received = again.receive();
+    CHECK(received.type == MessageType::set_up && received.call == one);
+    again.send(answer_frame);
     CHECK(caller.receive().type == MessageType::answer);
 }
 
-void it_serves(const char* path) {
-    Listener first, second, feed_at;
-    const int port = Listener().port();  // free again, at an address that nobody else uses
-    Program program(path, config_json(port, feed_at, first, "10"));
-    Peer feed = feed_at.accept();
+// One process through a call, refusals, malformed bytes, a broken feed, a lost connection, a switch that
+// dies, and SIGTERM.
+void serves_calls_through_failures_until_its_end(const char* path) {
+    Listener first_listener, second_listener, feed_listener;
+    const int port = Listener().port();  // closed again, so that the program can listen there
+    Program program(path, config_json(port, feed_listener, first_listener, "10"));
+    Peer feed = feed_listener.accept();
     CHECK(feed.read_line() == "SUB 1\n");
-    Peer at_switch = first.accept();
-    at_switch.send(group_state("x0:9;x1:9"));
+    Peer carrier_switch = first_listener.accept();
+    carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
     while (health_check(caller).cause != 1) usleep(5000);
 
     // One call to its end.
     const CallId one = "0000000000000001", two = "0000000000000002", three = "0000000000000003";
     caller.send(set_up(one, 1, 20'000));
-    const Received sent = at_switch.receive();
+    const Received sent = carrier_switch.receive();
     CHECK(sent.type == MessageType::set_up && sent.call == one && sent.description == "offer of " + one);
     CHECK(sent.number == "7f3a" && sent.service_class == "move");
-    at_switch.send(answer(one));
-    Received heard = caller.receive();
-    CHECK(heard.type == MessageType::answer && heard.call == one &&
-          heard.description == "media\r\n of " + one);
-    // The group's state goes before the release, so that whoever hears of the release knows it was read.
-    at_switch.send(group_state("x0:0;x1:9"));
-    at_switch.send(release(one, 16));
-    heard = caller.receive();
-    CHECK(heard.type == MessageType::release && heard.call == one && heard.cause == 16);
+    carrier_switch.send(answer(one));
+    Received received = caller.receive();
+    CHECK(received.type == MessageType::answer && received.call == one &&
+          received.description == "media\r\n of " + one);
+    // The group's state is sent before the release, so that it has been read when the release arrives.
+    carrier_switch.send(group_state("x0:0;x1:9"));
+    carrier_switch.send(release(one, 16));
+    received = caller.receive();
+    CHECK(received.type == MessageType::release && received.call == one && received.cause == 16);
 
-    // Refused: no circuit is free. Failed: nobody knows its class.
+    // Refused, as no circuit is free; failed, as the service class is unknown.
     caller.send(set_up(two, 1, 200));
-    heard = caller.receive();
-    CHECK(heard.type == MessageType::release && heard.call == two && heard.cause == 34);
+    received = caller.receive();
+    CHECK(received.type == MessageType::release && received.call == two && received.cause == 34);
     caller.send(set_up(three, 1, 200, "nonsense"));
-    heard = caller.receive();
-    CHECK(heard.type == MessageType::release && heard.call == three && heard.cause == 47);
+    received = caller.receive();
+    CHECK(received.type == MessageType::release && received.call == three && received.cause == 47);
 
-    // What is malformed closes its own connection and harms nobody else.
-    Peer noise = Peer::connect(port);
-    noise.send(std::string("GET / HTTP/1.1\r\n\r\n"));
-    CHECK(noise.closed_by_far_end());
+    // A malformed message closes its own connection and no other.
+    Peer malformed = Peer::connect(port);
+    malformed.send(std::string("GET / HTTP/1.1\r\n\r\n"));
+    CHECK(malformed.closed_by_far_end());
     CHECK(health_check(caller).cause == 1);
 
-    // The feed breaks off after an event, in the middle of the next: it is resumed behind the former.
-    feed.send(event_json(2, false, switch_json(2, second.address())) + "\n{\"n\":3,\"mem");
-    Peer at_second = second.accept();
+    // The feed breaks off in the middle of an event: it is resumed behind the last complete one.
+    feed.send(event_json(2, false, switch_json(2, second_listener.address())) + "\n{\"n\":3,\"mem");
+    Peer second_switch = second_listener.accept();
     feed.close();
-    feed = feed_at.accept();
+    feed = feed_listener.accept();
     CHECK(feed.read_line() == "SUB 2\n");
     feed.send(std::string("{\"n\":2}\n"));
 
-    // A connection breaks with a set-up open on it: the set-up comes again, on a new connection.
-    at_second.send(group_state("x0:9;x1:9"));
+    // A connection breaks with an open set-up: the set-up is released and sent again on a new connection.
+    second_switch.send(group_state("x0:9;x1:9"));
     const CallId six = "0000000000000006", seven = "0000000000000007";
     caller.send(set_up(six, 2, 20'000));
-    CHECK(at_second.receive().call == six);
-    at_second.close();
-    at_second = second.accept();
-    at_second.send(group_state("x0:9;x1:9"));
-    CHECK(at_second.receive().type == MessageType::release);
-    CHECK(at_second.receive().call == six);
-    at_second.send(answer(six));
+    CHECK(second_switch.receive().call == six);
+    second_switch.close();
+    second_switch = second_listener.accept();
+    second_switch.send(group_state("x0:9;x1:9"));
+    CHECK(second_switch.receive().type == MessageType::release);
+    CHECK(second_switch.receive().call == six);
+    second_switch.send(answer(six));
     CHECK(caller.receive().type == MessageType::answer);
 
-    // A process dies: its port refuses, and what stood there is cut.
-    at_switch.send(group_state("x0:9;x1:9"));
+    // A switch's process dies and its port refuses connections: its standing calls are cut.
+    carrier_switch.send(group_state("x0:9;x1:9"));
     caller.send(set_up(seven, 1, 20'000));
-    CHECK(at_switch.receive().call == seven);
-    at_switch.send(answer(seven));
+    CHECK(carrier_switch.receive().call == seven);
+    carrier_switch.send(answer(seven));
     CHECK(caller.receive().type == MessageType::answer);
-    first.close();
-    at_switch.close();
-    heard = caller.receive();
-    CHECK(heard.type == MessageType::release && heard.call == seven && heard.cause == 41);
+    first_listener.close();
+    carrier_switch.close();
+    received = caller.receive();
+    CHECK(received.type == MessageType::release && received.call == seven && received.cause == 41);
 
-    // SIGTERM: an open set-up is served to its answer, a new connection too, and then it ends.
+    // After SIGTERM an open set-up and one on a new connection are still answered; then the process ends.
     const CallId four = "0000000000000004", five = "0000000000000005";
     caller.send(set_up(four, 2, 20'000));
-    CHECK(at_second.receive().call == four);
+    CHECK(second_switch.receive().call == four);
     program.signal(SIGUSR1);
     program.await_log(" set_ups=6 ");
     program.signal(SIGTERM);
     while (health_check(caller).cause != 0) usleep(5000);
     Peer late = Peer::connect(port);
     late.send(set_up(five, 2, 20'000));
-    CHECK(at_second.receive().call == five);
-    at_second.send(answer(five));
+    CHECK(second_switch.receive().call == five);
+    second_switch.send(answer(five));
     CHECK(late.receive().type == MessageType::answer);
-    at_second.send(answer(four));
+    second_switch.send(answer(four));
     CHECK(caller.receive().description == "media\r\n of " + four);
     CHECK(program.exit_code() == 0);
     CHECK(program.log().find(" answered=5 refused=1 failed=1 ") != std::string::npos);
@@ -275,12 +284,12 @@
 
 int main(int count, char** arguments) {
     CHECK(count == 2);
-    bad_config_is_told_and_ends_it(arguments[1]);
-    a_silent_switch_is_dialled_anew(arguments[1]);
-    it_takes_a_new_configuration(arguments[1]);
-    standing_calls_have_a_bound(arguments[1]);
-    idle_connections_make_room(arguments[1]);
-    a_crowd_displaces_no_standing_call(arguments[1]);
-    a_halted_connection_is_closed(arguments[1]);
-    it_serves(arguments[1]);
+    ends_with_an_error_on_a_bad_configuration(arguments[1]);
+    dials_a_silent_switch_again(arguments[1]);
+    reloads_the_configuration(arguments[1]);
+    bounds_the_number_of_standing_calls(arguments[1]);
+    closes_unused_connections_for_new_callers(arguments[1]);
+    keeps_connections_with_standing_calls(arguments[1]);
+    closes_a_connection_with_a_stalled_message(arguments[1]);
+    serves_calls_through_failures_until_its_end(arguments[1]);
 }
