--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -18,7 +18,7 @@
 
 struct TrunkSettings {
     trunk::PointCode point_code = 1;
-    int exchange_number = kNowhere;
+    int exchange_number = kNoExchange;
     std::string listen_address;  // address:port; empty: nobody dials this hub
     std::string ledger_folder;   // a folder; empty: none
     std::vector<ListedExchange> lines;
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -107,11 +107,11 @@
         bool first = true;
         for (ListEvent event : config.known_events) {
             if (!event.has_list) continue;
-            if (std::exchange(first, false)) event.kind = ListKind::remembered;
+            if (std::exchange(first, false)) event.kind = ListKind::cached;
             apply(event);
         }
         if (trunk_ && first)
-            apply({.number = 0, .has_list = true, .kind = ListKind::remembered, .version = 0, .entries = {}});
+            apply({.number = 0, .has_list = true, .kind = ListKind::cached, .version = 0, .entries = {}});
         net::spawn(io, handle_signals());
         feed_.start();
         if (handover_.connect_to_predecessor()) {
