--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -18,9 +18,9 @@
 constexpr milliseconds kMaxPieceGap{400};
 constexpr milliseconds kOverdueCheckInterval{100};
 constexpr milliseconds kIdleCloseInterval{20};
-// In a drain a new connection that has asked for nothing yet stays open for this time.
+// In a drain a new connection that has sent no request yet stays open for this time.
 constexpr milliseconds kMinFirstRequestTime{500};
-// From the start of a connection until its first whole request. A connection that never asks for anything
+// From the start of a connection until its first whole request. A connection that never sends one
 // must be closed within 3 s.
 constexpr milliseconds kMaxFirstRequestTime{2800};
 constexpr milliseconds kMaxMessageTime{2800};  // from a message's first byte to its last
@@ -45,20 +45,20 @@
     void send(protocol::Frame frame) override { connection_->send(std::move(frame)); }
     Connection& connection() { return *connection_; }
     protocol::CallerSession& session() { return session_; }
-    const CallerLink::Usage& use() const { return session_.usage; }
+    const CallerLink::Usage& usage() const { return session_.usage; }
     bool is_idle() const { return connection_->is_idle(); }
     Clock::time_point last_read() const { return partial_.last_read(); }
     void on_read(Clock::time_point now) { partial_.on_read(session_, now); }
     // The connection is new, or a message is arriving in pieces, and the last piece came only just now.
-    bool is_about_to_ask(Clock::time_point now) const {
+    bool is_about_to_send_request(Clock::time_point now) const {
         return (!session_.has_sent_request() || session_.has_partial_message()) &&
                now - last_read() < kMaxPieceGap;
     }
     // No set-up awaits an answer and all answers have been written.
-    bool can_be_passed_on() const { return use().open_set_ups == 0 && is_idle(); }
+    bool can_be_passed_on() const { return usage().open_set_ups == 0 && is_idle(); }
     // Closing it now loses nothing: there is no pending answer, no standing call and no incomplete message.
     bool can_be_closed(Clock::time_point now) const {
-        return can_be_passed_on() && use().standing_calls == 0 && !session_.has_partial_message() &&
+        return can_be_passed_on() && usage().standing_calls == 0 && !session_.has_partial_message() &&
                (session_.has_sent_request() || now - opened_ >= kMinFirstRequestTime);
     }
     // Callers may hold a connection without a call for as long as they like. Only a connection that never
@@ -177,13 +177,13 @@
     const auto rank = [&connections_of, now](const std::shared_ptr<Caller>& caller) {
         protocol::CallerSession& session = caller->session();
         return std::tuple(session.usage.open_set_ups > 0, session.usage.standing_calls > 0,
-                          caller->is_about_to_ask(now), -connections_of[session.origin()],
+                          caller->is_about_to_send_request(now), -connections_of[session.origin()],
                           session.has_sent_request(), caller->last_read());
     };
     const auto least_needed =
         std::min_element(connections_.begin(), connections_.end(),
                          [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
-    if (least_needed == connections_.end() || (*least_needed)->use().open_set_ups > 0) return false;
+    if (least_needed == connections_.end() || (*least_needed)->usage().open_set_ups > 0) return false;
     ++counters_.client_connections_displaced;
     close(*least_needed);
     return true;
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -33,8 +33,8 @@
     int number_;
 };
 
-// A process is the successor of the one before it and later the predecessor of the next. As the Successor
-// that the call table knows, it sends the changes of standing calls to the successor.
+// A process is the successor of the one before it and later the predecessor of the next. Implements the call
+// table's Successor: sends the standing calls, and what becomes of them, to the successor process.
 class Handover final : public Successor {
    public:
     // What the hand-over asks of the process that it is part of.
--- a/src/net/switches.cpp
+++ b/src/net/switches.cpp
@@ -54,7 +54,7 @@
     }
 
     void set_up(const OutgoingSetUp& request) {
-        has_sent_set_ups_ = true;
+        has_had_set_ups_ = true;
         if (connection_ && connection_->is_open())
             return send_set_up(request.call, SwitchSession::set_up_frame(request));
         waiting_.emplace_back(request.call, SwitchSession::set_up_frame(request));
@@ -173,7 +173,7 @@
     bool is_silent() const {
         const auto now = Clock::now();
         return (first_set_up_since_read_ && now - *first_set_up_since_read_ >= connect_time_out_) ||
-               (has_sent_set_ups_ && now - last_read_ >= kSilenceInTimeOuts * connect_time_out_);
+               (has_had_set_ups_ && now - last_read_ >= kSilenceInTimeOuts * connect_time_out_);
     }
 
     // Closes connections on which a message has stopped half-way, since answers to further set-ups would wait
@@ -186,7 +186,7 @@
                 connection->close();
     }
 
-    // Sends on the new connection from now on. The previous one, which is silent, is read until the next is
+    // Sends on the new connection from now on. The previous one, which is silent, is read until this one is
     // replaced in turn, as its set-ups may still be answered there.
     void use_connection(tcp::socket socket) {
         ++counters_.switch_connections;
@@ -235,7 +235,7 @@
     std::optional<Clock::time_point> first_set_up_since_read_;  // when it was sent
     Clock::time_point last_read_{};                             // on any connection
     std::map<CallId, std::shared_ptr<Connection>> unanswered_;  // set-ups, and where they were sent
-    bool has_sent_set_ups_ = false;                             // a switch that was never used may be silent
+    bool has_had_set_ups_ = false;                              // a switch without set-ups may be silent
     std::vector<std::pair<CallId, protocol::Frame>> waiting_;   // set-ups for the next connection
     std::vector<CallId> pending_releases_;
     bool stopped_ = false;
--- a/src/net/trunk_links.hpp
+++ b/src/net/trunk_links.hpp
@@ -29,7 +29,7 @@
     // Receives the text of a warning for the log.
     using Warn = std::function<void(const std::string&)>;
 
-    // Without `listen` no connection is accepted. `time` is the clock of the trunk manager.
+    // Without `listen` no connection is accepted. `clock`: of the trunk manager.
     TrunkLinks(asio::io_context& io, trunk::TrunkManager& trunk_manager, std::optional<tcp::endpoint> listen,
                trunk::TrunkManager::Clock clock, Warn warn);
     ~TrunkLinks();
@@ -44,7 +44,7 @@
 
    private:
     class Link;
-    struct Dialled {
+    struct Dialled {  // a group and the address of its far end
         trunk::TrunkManager::Trunk* trunk;
         tcp::endpoint to;
     };
@@ -57,6 +57,8 @@
     asio::awaitable<void> send_heartbeats();
     void schedule(Instant at);
     void write_output(trunk::TrunkManager::Trunk& trunk);
+    // Closes the link, after the session's last output is written, and logs why. Does nothing if the link is
+    // not the group's present one.
     void close_link(const std::shared_ptr<Link>& link, const std::string& reason);
 
     asio::io_context& io_;
@@ -70,8 +72,8 @@
     std::vector<Dialled> dialled_;
     std::map<trunk::TrunkManager::Trunk*, std::shared_ptr<Link>> links_;
     std::list<std::weak_ptr<tcp::socket>> unidentified_;  // the oldest first
-    std::map<trunk::TrunkManager::Trunk*, std::string>
-        last_warning_;  // the same one is not logged twice in a row
+    // The same warning about a group is not logged twice in a row.
+    std::map<trunk::TrunkManager::Trunk*, std::string> last_warning_;
     bool stopped_ = false;
 };
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -35,7 +35,7 @@
 constexpr Duration kStopCheckInterval = 20ms;
 constexpr std::size_t kBytesPerCall = 800;   // in the call table and the decision module: 750, rounded up
 constexpr std::size_t kMaxOldestCalls = 20;  // in a reply to operators
-constexpr int kMaxLoggedNotes = 100;         // of the decision module, in the life of the process
+constexpr int kMaxLoggedNotes = 100;         // of the decision module; the process logs no further ones
 
 // Unix time that never runs backwards: reads the system's clock once and adds monotonic time.
 class UnixClock {
@@ -322,7 +322,7 @@
     }
 
     // Ends the process. Serves on until callers have had time to turn to another gatekeeper and all pending
-    // answers are written, but not past the time to end; what is unanswered then is refused.
+    // answers are written, but not past the shutdown time limit; what is unanswered then is refused.
     asio::awaitable<void> stop() {
         const Instant requested = clock_.now();
         const Instant end =
@@ -370,7 +370,7 @@
     bool serving_ = false;  // false: a predecessor still serves
     asio::steady_timer alarm_, stop_timer_;
     asio::signal_set signals_;
-    int note_count_ = 0;
+    int note_count_ = 0;  // of the decision module
     bool stopping_ = false;
 };
 
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -24,8 +24,8 @@
     trunk::OperatorCommands& operator_commands() { return operator_commands_; }
     const trunk::OperatorCommands& operator_commands() const { return operator_commands_; }
 
-    // Opens the ledger, restores its calls and starts the links. The list of exchanges must be known. Throws
-    // boost::system::system_error if it cannot listen.
+    // Opens the ledger, restores its calls and starts the links. The list of exchanges must be known. If it
+    // cannot listen, boost::system::system_error leaves the event loop (see TrunkLinks::start()).
     void start();
     void stop();  // closes the links
     bool is_idle() const { return !links_ || links_->is_idle(); }
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -194,8 +194,8 @@
     // A release by the predecessor's connection to the switch reaches the caller through the successor, and a
     // caller's release goes through the successor.
     site.carrier_switch.send(release(kOne, 16));
-    const Received received =
-        first_to_send(quiet, busy)->receive();  // both are the same caller's connections
+    // The release comes on either connection, as both are the same caller's.
+    const Received received = first_to_send(quiet, busy)->receive();
     CHECK(received.call == kOne && received.cause == 16);
     busy.send(release(kTwo, 16));
     CHECK(successor.carrier_switch.receive().call == kTwo);
@@ -258,8 +258,8 @@
     const auto start = std::chrono::steady_clock::now();
     Successor successor(path, site, folder);
     successor.carrier_switch.send(group_state("x0:9;x1:9"));
-    Peer second_of_successor = second_listener.accept();  // from the predecessor's list
-    second_of_successor.send(group_state("x0:9;x1:9"));
+    Peer second_switch_of_successor = second_listener.accept();  // from the predecessor's list
+    second_switch_of_successor.send(group_state("x0:9;x1:9"));
     CHECK(contains(successor.feed.read_line(), "SUB "));
     Peer again = site.feed_listener.accept();  // connects again after the silence
     CHECK(again.read_line() == "SUB 2\n");
@@ -268,8 +268,8 @@
     const bool is_ready = succeeds(successor.operator_port, "GET /ready");
     if (std::chrono::steady_clock::now() - start < std::chrono::seconds(4)) CHECK(!is_ready);
     again.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
-    Peer third_of_successor = third_listener.accept();
-    third_of_successor.send(group_state("x0:9;x1:9"));
+    Peer third_switch_of_successor = third_listener.accept();
+    third_switch_of_successor.send(group_state("x0:9;x1:9"));
     while (!succeeds(successor.operator_port, "GET /ready")) usleep(5000);
     CHECK(contains(operator_reply(successor.operator_port, "GET /metrics"), "app.targets:3|g"));
 }
@@ -278,7 +278,7 @@
 // together: they share the machine's descriptors.
 void both_processes_share_one_connection_bound(const char* path) {
     Folder folder;
-    Site site(path, folder.path);  // 40 descriptors: 20 callers
+    Site site(path, folder.path);  // 40 descriptors: 20 for callers
     folder.socket = own_address() + ':' + std::to_string(site.port);
     std::vector<Peer> open, more;
     for (int i = 0; i < 15; ++i) {
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -60,8 +60,8 @@
     CHECK(feed.closed_by_far_end());
     new_feed.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
     Peer third_switch = third_listener.accept();
-    carrier_switch.send(group_state(
-        "x0:0;x1:9"));  // otherwise it could serve as the tandem until the other group's state is known
+    // Otherwise the switch could serve as the tandem until the other group's state is known.
+    carrier_switch.send(group_state("x0:0;x1:9"));
     carrier_switch.send(answer(one));
     CHECK(caller.receive().description == "media\r\n of " + one);
     third_switch.send(group_state("x0:9;x1:9"));
@@ -107,8 +107,8 @@
 void closes_unused_connections_for_new_callers(const char* path) {
     Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path,
-                    config_json(port, feed_listener, switch_listener, "10"));  // 40 descriptors: 20 callers
+    // 40 descriptors: 20 for callers.
+    Program program(path, config_json(port, feed_listener, switch_listener, "10"));
     Peer carrier_switch = switch_listener.accept();
     carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port);
@@ -137,8 +137,8 @@
 void keeps_connections_with_standing_calls(const char* path) {
     Listener switch_listener, feed_listener;
     const int port = Listener().port();
-    Program program(path,
-                    config_json(port, feed_listener, switch_listener, "10"));  // 40 descriptors: 20 callers
+    // 40 descriptors: 20 for callers.
+    Program program(path, config_json(port, feed_listener, switch_listener, "10"));
     Peer carrier_switch = switch_listener.accept();
     carrier_switch.send(group_state("x0:9;x1:9"));
     Peer caller = Peer::connect(port), spare = Peer::connect(port);
