--- a/src/main.cpp
+++ b/src/main.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-// The subcommand `circuits`, which asks a running gatekeeper at its operators' address. `result` receives the
+// The subcommand `circuits`, which sends requests to a running gatekeeper. `result` receives the
 // exit code.
 void add_circuits(CLI::App& app, int& result) {
     struct CircuitOptions {
--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -62,7 +62,7 @@
                (session_.has_sent_request() || now - opened_ >= kMinFirstRequestTime);
     }
     // Callers may hold a connection without a call for as long as they like. Only a connection that never
-    // asked for anything, or that stopped within a message, uses up a descriptor for nothing.
+    // sent a request, or that stopped within a message, uses up a descriptor for nothing.
     bool is_overdue(Clock::time_point now) {
         return partial_.is_older_than(kMaxMessageTime, session_, now) ||
                (!session_.has_sent_request() && now - opened_ >= kMaxFirstRequestTime);
@@ -167,9 +167,9 @@
 
 // Closes the least needed connection without an open set-up, so that connections held without use, be it
 // hundreds by one caller or one each by hundreds, keep nobody out. Closed last are connections with standing
-// calls, since their releases are sent there, and before these those that are about to ask for something.
-// Among the others the caller with the most connections loses one first; then it is one that never asked for
-// anything, and then the one that has been silent for the longest time.
+// calls, since their releases are sent there, and before these those that are about to send a request.
+// Among the others the caller with the most connections loses one first; then it is one that never sent a
+// request, and then the one that has been silent for the longest time.
 bool CallerConnections::displace_one() {
     std::map<std::string_view, int> connections_of;
     for (const auto& caller : connections_) ++connections_of[caller->session().origin()];
@@ -195,7 +195,7 @@
     caller->connection().close();
 }
 
-// Closes connections that never asked for anything or stopped within a message.
+// Closes connections that never sent a request or stopped within a message.
 asio::awaitable<void> CallerConnections::close_overdue() {
     while (!stopped_) {
         overdue_timer_.expires_after(kOverdueCheckInterval);
--- a/src/net/callers.hpp
+++ b/src/net/callers.hpp
@@ -13,7 +13,7 @@
 
 // Accepts and owns the connections of callers, up to a bound. Closes a connection when
 //  - the far end closes it or sends a malformed message,
-//  - it has asked for nothing for 2.8 s after it came up, or a message is incomplete for 2.8 s,
+//  - it has sent no request for 2.8 s after it came up, or a message is incomplete for 2.8 s,
 //  - another connection needs its place (see displace_one()),
 //  - it has no call and callers are to be sent elsewhere (close_idle_while()),
 //  - the process ends.
--- a/src/net/feed.cpp
+++ b/src/net/feed.cpp
@@ -17,10 +17,10 @@
 }  // namespace
 
 FeedClient::FeedClient(asio::io_context& io, std::optional<tcp::endpoint> address, std::int64_t known,
-                       protocol::FeedSession::ListHandler take, std::size_t max_line_bytes,
+                       protocol::FeedSession::ListHandler on_event, std::size_t max_line_bytes,
                        Counters& counters)
     : address_(std::move(address)),
-      session_(known, std::move(take), max_line_bytes),
+      session_(known, std::move(on_event), max_line_bytes),
       counters_(counters),
       socket_(io),
       reconnect_timer_(io),
--- a/src/net/feed.hpp
+++ b/src/net/feed.hpp
@@ -16,9 +16,9 @@
 class FeedClient {
    public:
     // `known` is the number of the last event that is known already; without an address there is no feed.
-    // Each new event goes to `take`. A line longer than `max_line_bytes` is malformed.
+    // Each new event goes to `on_event`. A line longer than `max_line_bytes` is malformed.
     FeedClient(asio::io_context& io, std::optional<tcp::endpoint> address, std::int64_t known,
-               protocol::FeedSession::ListHandler take, std::size_t max_line_bytes, Counters& counters);
+               protocol::FeedSession::ListHandler on_event, std::size_t max_line_bytes, Counters& counters);
 
     void set_max_line_bytes(std::size_t max_line_bytes) { session_.set_max_line_bytes(max_line_bytes); }
 
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -37,7 +37,7 @@
 // table's Successor: sends the standing calls, and what becomes of them, to the successor process.
 class Handover final : public Successor {
    public:
-    // What the hand-over asks of the process that it is part of.
+    // What the hand-over needs from the process that it is part of.
     class Process {
        public:
         // As the predecessor.
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -176,7 +176,7 @@
 // A gatekeeper that runs as a child process; killed at the end if it still runs.
 class Program {
    public:
-    // `operator_port`: of the operators' address, 0 for none. `shared_folder`: where it meets its predecessor
+    // `operator_port`: of the operators' address, 0 for none. `shared_folder`: where it finds its predecessor
     // and successor. `operator_file`: the path of the operator's file, if there is one; the subcommand
     // `serve` is used then.
     Program(const char* path, const std::string& config, int operator_port = 0,
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -102,7 +102,7 @@
     CHECK(carrier_switch.receive().type == MessageType::set_up);
 }
 
-// Connections that never ask for anything would keep callers out once they hold all descriptors for callers.
+// Connections that never send a request would keep callers out once they hold all descriptors for callers.
 // They are closed for new connections, and after some seconds in any case.
 void closes_unused_connections_for_new_callers(const char* path) {
     Listener switch_listener, feed_listener;
