--- a/src/trunk_service.cpp
+++ b/src/trunk_service.cpp
@@ -5,54 +5,58 @@
 namespace nettlestall {
 
 TrunkService::TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
-                           calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock time, log::Log& log)
+                           calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock clock, log::Log& log)
     : io_(io),
       settings_(settings),
       gatekeeper_(gatekeeper),
-      time_(std::move(time)),
+      clock_(std::move(clock)),
       log_(log),
-      front_(settings_.exchange_number, time_, gatekeeper_, gatekeeper_, gatekeeper_),
-      desk_(front_, time_) {
-    for (const ListedExchange& lines : settings_.lines) front_.add_subscriber_lines(lines);
-    for (const config::TrunkSettings::Group& group : settings_.groups) front_.add(group.settings);
-    front_.on_freed([this](const trunk::TrunkManager::Trunk& of, const trunk::FreedByAudit& freed) {
-        log_.warning("audit of group " + std::to_string(of.settings().id) + " frees circuit " +
-                         std::to_string(freed.circuit) + ", held at the " +
-                         (freed.ref == trunk::kNoCall ? "far end only" : "near end only"),
-                     freed.call);
-    });
-    front_.on_glare_lost([this](const trunk::TrunkManager::Trunk& of, const CallId& call) {
+      trunk_manager_(settings_.exchange_number, clock_, gatekeeper_, gatekeeper_, gatekeeper_),
+      operator_commands_(trunk_manager_, clock_) {
+    for (const ListedExchange& lines : settings_.lines) trunk_manager_.add_subscriber_lines(lines);
+    for (const config::TrunkSettings::Group& group : settings_.groups) trunk_manager_.add(group.settings);
+    trunk_manager_.on_freed(
+        [this](const trunk::TrunkManager::Trunk& trunk, const trunk::FreedByAudit& freed) {
+            log_.warning("audit of group " + std::to_string(trunk.settings().id) + " frees circuit " +
+                             std::to_string(freed.circuit) + ", held at the " +
+                             (freed.ref == trunk::kNoCall ? "far end only" : "near end only"),
+                         freed.call);
+        });
+    trunk_manager_.on_glare_lost([this](const trunk::TrunkManager::Trunk& trunk, const CallId& call) {
         if (log_.is_enabled(log::Level::debug))
-            log_.debug("group " + std::to_string(of.settings().id) + ": lost a dual seizure", call);
+            log_.debug("group " + std::to_string(trunk.settings().id) + ": lost a dual seizure", call);
     });
 }
 
 void TrunkService::start() {
-    const auto note = [this](const std::string& text) { log_.warning(text); };
-    const auto now = std::chrono::duration_cast<std::chrono::seconds>(time_()).count();
-    auto life = static_cast<std::uint32_t>(now & 0x7fffffff);
+    const auto warn = [this](const std::string& text) { log_.warning(text); };
+    const auto now = std::chrono::duration_cast<std::chrono::seconds>(clock_()).count();
+    auto incarnation = static_cast<std::uint32_t>(now & 0x7fffffff);
     if (!settings_.ledger_folder.empty()) {
-        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger_folder, settings_.point_code, note);
-        life = ledger_->next_incarnation(life);
+        ledger_ = std::make_unique<store::TrunkLedger>(settings_.ledger_folder, settings_.point_code, warn);
+        incarnation = ledger_->next_incarnation(incarnation);
     }
-    front_.begin(life, ledger_.get());
+    trunk_manager_.begin(incarnation, ledger_.get());
     if (ledger_) {
         for (const auto& blocked : ledger_->blocked())
-            front_.restore_blocked(blocked.group, blocked.circuit, blocked.blocking);
-        const std::size_t back = front_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
-            const ExchangeId at =
-                call.outgoing ? front_.find(call.group)->settings().exchange : call.exchange;
-            gatekeeper_.accept_standing(at, call.call, call.origin, link);
-        });
-        if (back > 0)
-            log_.info("ledger: " + std::to_string(back) + " calls stood; those that the far ends know go on");
+            trunk_manager_.restore_blocked(blocked.group, blocked.circuit, blocked.blocking);
+        const std::size_t restored =
+            trunk_manager_.restore(ledger_->calls(), [this](const auto& call, CallerLink* link) {
+                const ExchangeId at =
+                    call.outgoing ? trunk_manager_.find(call.group)->settings().exchange : call.exchange;
+                gatekeeper_.accept_standing(at, call.call, call.origin, link);
+            });
+        if (restored > 0)
+            log_.info("ledger: " + std::to_string(restored) +
+                      " standing calls restored; those that the far ends confirm go on");
     }
     std::optional<net::tcp::endpoint> listen;
     if (!settings_.listen_address.empty()) listen = net::to_endpoint(settings_.listen_address);
-    links_.emplace(io_, front_, listen, time_, note);
+    links_.emplace(io_, trunk_manager_, listen, clock_, warn);
     for (const config::TrunkSettings::Group& group : settings_.groups)
         if (!group.dial_address.empty())
-            links_->dial(*front_.find(group.settings.id), *net::to_endpoint(group.dial_address));
+            links_->add_dialled(*trunk_manager_.find(group.settings.id),
+                                *net::to_endpoint(group.dial_address));
     links_->start();
 }
 
@@ -60,21 +64,21 @@
     if (links_) links_->stop();
 }
 
-void TrunkService::retire() {
-    front_.hand_over();
+void TrunkService::hand_over() {
+    trunk_manager_.hand_over();
     stop();
     ledger_.reset();
 }
 
-void TrunkService::take(const config::TrunkSettings& settings) {
+void TrunkService::apply(const config::TrunkSettings& settings) {
     settings_ = settings;
     for (const config::TrunkSettings::Group& group : settings_.groups)
-        front_.find(group.settings.id)->update_timers(group.settings.rules);
+        trunk_manager_.find(group.settings.id)->update_timers(group.settings.rules);
 }
 
-CallerLink* TrunkService::link_of(std::string_view origin) {
-    for (trunk::TrunkManager::Trunk* of : front_.trunks())
-        if (of->origin() == origin) return of;
+CallerLink* TrunkService::find_link(std::string_view origin) {
+    for (trunk::TrunkManager::Trunk* trunk : trunk_manager_.trunks())
+        if (trunk->origin() == origin) return trunk;
     return nullptr;
 }
 
--- a/src/trunk_service.hpp
+++ b/src/trunk_service.hpp
@@ -1,4 +1,5 @@
-// The trunk signalling, where the operator's file asks for it: front, links, ledger and the operators' desk.
+// Trunk signalling as configured in the operator's file: joins the trunk manager, the links, the circuit
+// ledger and the operators' commands.
 #pragma once
 
 #include <memory>
@@ -13,34 +14,37 @@
 
 namespace nettlestall {
 
+// Owns these parts. Until start() the groups exist, but no link is up and no ledger is open.
 class TrunkService {
    public:
     TrunkService(boost::asio::io_context& io, const config::TrunkSettings& settings,
-                 calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock time, log::Log& log);
+                 calls::Gatekeeper& gatekeeper, trunk::TrunkManager::Clock clock, log::Log& log);
 
-    trunk::TrunkManager& front() { return front_; }
-    trunk::OperatorCommands& desk() { return desk_; }
-    const trunk::OperatorCommands& desk() const { return desk_; }
+    trunk::TrunkManager& trunk_manager() { return trunk_manager_; }
+    trunk::OperatorCommands& operator_commands() { return operator_commands_; }
+    const trunk::OperatorCommands& operator_commands() const { return operator_commands_; }
 
-    // From now on the groups are this process's: its ledger, its links. The list of exchanges must be known.
-    // Throws boost::system::system_error if it can't listen.
+    // Opens the ledger, restores its calls and starts the links. The list of exchanges must be known. If it
+    // cannot listen, boost::system::system_error leaves the event loop (see TrunkLinks::start()).
     void start();
-    void stop();
-    bool idle() const { return !links_ || links_->idle(); }
-    void retire();  // the next process has ledger, groups and calls
-    void take(const config::TrunkSettings& settings);
-    // Of a call that came over a group; null: it came otherwise.
-    CallerLink* link_of(std::string_view origin);
+    void stop();  // closes the links
+    bool is_idle() const { return !links_ || links_->is_idle(); }
+    // Leaves ledger, groups and calls to a successor process.
+    void hand_over();
+    // Applies those settings of the groups that may change in service: the times and the audit.
+    void apply(const config::TrunkSettings& settings);
+    // The group with this origin text; null: the call did not come over a group.
+    CallerLink* find_link(std::string_view origin);
 
    private:
     boost::asio::io_context& io_;
     config::TrunkSettings settings_;
     calls::Gatekeeper& gatekeeper_;
-    trunk::TrunkManager::Clock time_;
+    trunk::TrunkManager::Clock clock_;
     log::Log& log_;
     std::unique_ptr<store::TrunkLedger> ledger_;
-    trunk::TrunkManager front_;
-    trunk::OperatorCommands desk_;
+    trunk::TrunkManager trunk_manager_;
+    trunk::OperatorCommands operator_commands_;
     std::optional<net::TrunkLinks> links_;
 };
 
