--- a/src/cli/circuits.hpp
+++ b/src/cli/circuits.hpp
@@ -1,15 +1,16 @@
-// `nettlestall circuits`: speaks to a gatekeeper's operators' address, as curl would.
+// The command `nettlestall circuits`: sends HTTP requests to a gatekeeper's operators' address.
 #pragma once
 
 #include <string>
 
 namespace nettlestall::cli {
 
-// Exit codes of the command line.
+// Exit codes of the command line: success; cannot start or invalid file; invalid command line; request
+// refused by the gatekeeper; gatekeeper not reachable.
 enum ExitCode : int { kSuccess = 0, kFailure = 1, kUsageError = 2, kRefused = 3, kUnreachable = 4 };
 
-// Prints the reply's body: on standard output if it was carried out, else on standard error. `at` is
-// address:port.
+// Sends a request without a body to the operators' address `at` (numeric address:port) and prints the body of
+// the reply, on standard output if its status is 200, otherwise on standard error. Returns an ExitCode.
 int send_operators_request(const std::string& at, const std::string& method, const std::string& target);
 
 }  // namespace nettlestall::cli
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,15 +15,17 @@
 
 constexpr int kDefaultMemoryMb = 192;
 constexpr int kDefaultSockets = 1024;
-constexpr int kFewestSockets = 32;
+constexpr int kMinSockets = 32;
 
-// Who orders a restart waits for the longest deadline, up to a limit, and a little more; then it kills.
-constexpr Duration kLongestWait = std::chrono::seconds(3);
-constexpr Duration kLongestWaitSuperseded = std::chrono::seconds(5);
-constexpr Duration kWaitsOn = std::chrono::milliseconds(700);
-constexpr Duration kBeforeTheKill = std::chrono::milliseconds(250);
+// A supervisor that stops this process waits for the longest deadline of a service class, at most for
+// kSupervisorMaxWait, plus kSupervisorExtraWait; then it kills the process. Work has to end kKillMargin
+// earlier.
+constexpr Duration kSupervisorMaxWait = std::chrono::seconds(3);
+constexpr Duration kSupervisorMaxWaitSuperseded = std::chrono::seconds(5);
+constexpr Duration kSupervisorExtraWait = std::chrono::milliseconds(700);
+constexpr Duration kKillMargin = std::chrono::milliseconds(250);
 
-std::uint64_t read_seed(const std::string& text) {
+std::uint64_t parse_seed(const std::string& text) {
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (error != std::errc{} || end != text.data() + text.size())
@@ -31,8 +33,8 @@
     return seed;
 }
 
-// Only the form is checked here: an address, a colon and a port.
-std::string checked_address(std::string text, const char* key) {
+// Returns `text` if it has the form of an address, a colon and a port. The address itself is not checked.
+std::string validate_address(std::string text, const char* key) {
     const auto colon = text.rfind(':');
     int port = -1;
     if (colon != std::string::npos && colon > 0) {
@@ -43,13 +45,13 @@
     return text;
 }
 
-// Runs `read` and puts the place before its complaint.
+// Runs `read` and puts the section's name in front of the message of a BadInput that it throws.
 template <class F>
-void within(const char* place, F&& read) {
+void read_section(const char* section, F&& read) {
     try {
         read();
     } catch (const BadInput& problem) {
-        throw_bad_input(std::string("in '") + place + "': " + problem.what());
+        throw_bad_input(std::string("in '") + section + "': " + problem.what());
     }
 }
 
@@ -63,48 +65,50 @@
         throw_bad_input("not JSON, at byte " + std::to_string(document.GetErrorOffset()));
     if (!document.IsObject()) throw_bad_input("must be an object");
 
-    Config c;
-    c.name = get_or<std::string>(document, "name", "");
-    c.listen_address = get_or<std::string>(document, "listen", "");
+    Config config;
+    config.name = get_or<std::string>(document, "name", "");
+    config.listen_address = get_or<std::string>(document, "listen", "");
     if (find(document, "feed"))
-        c.feed_address = checked_address(get_required<std::string>(document, "feed"), "feed");
+        config.feed_address = validate_address(get_required<std::string>(document, "feed"), "feed");
     if (find(document, "operator"))
-        c.operators_address = checked_address(get_required<std::string>(document, "operator"), "operator");
-    c.seed = read_seed(get_or<std::string>(document, "seed", "1"));
-    within("limits", [&] {
+        config.operators_address =
+            validate_address(get_required<std::string>(document, "operator"), "operator");
+    config.seed = parse_seed(get_or<std::string>(document, "seed", "1"));
+    read_section("limits", [&] {
         const Value& limits = get_container_or_empty(document, "limits", false);
-        c.memory_mb = get_or(limits, "memory_mb", kDefaultMemoryMb);
-        c.max_sockets = get_or(limits, "sockets", kDefaultSockets);
-        if (c.memory_mb < 1) throw_bad_key("memory_mb", "1 or more");
-        if (c.max_sockets < kFewestSockets) throw_bad_key("sockets", "32 or more");
+        config.memory_mb = get_or(limits, "memory_mb", kDefaultMemoryMb);
+        config.max_sockets = get_or(limits, "sockets", kDefaultSockets);
+        if (config.memory_mb < 1) throw_bad_key("memory_mb", "1 or more");
+        if (config.max_sockets < kMinSockets) throw_bad_key("sockets", "32 or more");
     });
     const Value& settings = get_container(document, "settings", false);
-    within("settings", [&] {
-        c.settings = read_settings(settings);
-        c.net = read_net_settings(settings);
+    read_section("settings", [&] {
+        config.settings = read_settings(settings);
+        config.net = read_net_settings(settings);
     });
-    within("known", [&] {
+    read_section("known", [&] {
         const Value& known = get_container_or_empty(document, "known", false);
         for (const Value& event : get_container_or_empty(known, "events", true).GetArray())
-            c.known_events.push_back(protocol::read_list_event(event));
-        const std::int64_t last = c.known_events.empty() ? 0 : c.known_events.back().number;
-        c.last_event_number = get_or<std::int64_t>(known, "n", last);
+            config.known_events.push_back(protocol::read_list_event(event));
+        const std::int64_t last_number = config.known_events.empty() ? 0 : config.known_events.back().number;
+        config.last_event_number = get_or<std::int64_t>(known, "n", last_number);
     });
-    return c;
+    return config;
 }
 
-static Duration before_the_kill(const Settings& settings, Duration longest_wait) {
-    Duration longest{};
-    for (const ClassSettings& c : settings.classes) longest = std::max(longest, c.deadline);
-    return std::min(longest, longest_wait) + kWaitsOn - kBeforeTheKill;
+static Duration time_before_kill(const Settings& settings, Duration max_wait) {
+    Duration longest_deadline{};
+    for (const ClassSettings& service_class : settings.classes)
+        longest_deadline = std::max(longest_deadline, service_class.deadline);
+    return std::min(longest_deadline, max_wait) + kSupervisorExtraWait - kKillMargin;
 }
 
 Duration Config::shutdown_time_limit() const {
-    return before_the_kill(settings, kLongestWait);
+    return time_before_kill(settings, kSupervisorMaxWait);
 }
 
 Duration Config::shutdown_time_limit_superseded() const {
-    return before_the_kill(settings, kLongestWaitSuperseded);
+    return time_before_kill(settings, kSupervisorMaxWaitSuperseded);
 }
 
 Config load() {
@@ -114,17 +118,18 @@
     std::stringstream text;
     text << file.rdbuf();
     if (!file) throw_bad_input(std::string("BALANCER_CONFIG: cannot read ") + path);
-    Config c;
-    within("BALANCER_CONFIG", [&] { c = parse_config(text.str()); });
-    if (const char* name = std::getenv("BALANCER_NAME"); name && *name) c.name = name;
-    if (const char* listen = std::getenv("BALANCER_LISTEN"); listen && *listen) c.listen_address = listen;
-    if (const char* at = std::getenv("BALANCER_OPERATOR"); at && *at)
-        c.operators_address = checked_address(at, "BALANCER_OPERATOR");
-    if (c.listen_address.empty()) throw_bad_input("neither BALANCER_LISTEN nor 'listen' is set");
-    c.listen_address = checked_address(c.listen_address, "listen");
+    Config config;
+    read_section("BALANCER_CONFIG", [&] { config = parse_config(text.str()); });
+    if (const char* name = std::getenv("BALANCER_NAME"); name && *name) config.name = name;
+    if (const char* listen = std::getenv("BALANCER_LISTEN"); listen && *listen)
+        config.listen_address = listen;
+    if (const char* address = std::getenv("BALANCER_OPERATOR"); address && *address)
+        config.operators_address = validate_address(address, "BALANCER_OPERATOR");
+    if (config.listen_address.empty()) throw_bad_input("neither BALANCER_LISTEN nor 'listen' is set");
+    config.listen_address = validate_address(config.listen_address, "listen");
     if (const char* folder = std::getenv("TMPDIR"); folder && *folder)
-        c.handover_path = std::string(folder) + "/nettlestall-" + c.listen_address + ".sock";
-    return c;
+        config.handover_path = std::string(folder) + "/nettlestall-" + config.listen_address + ".sock";
+    return config;
 }
 
 }  // namespace nettlestall::config
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,5 +1,5 @@
-// What a gatekeeper is told at its start, from the environment and its configuration file: read, checked and
-// given defaults here and nowhere else.
+// The gatekeeper's start configuration, from the environment and the configuration file. All of its reading,
+// checking and defaulting is in this module.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,36 @@
 
 namespace nettlestall::config {
 
+// The configuration, checked and with its defaults filled in.
 struct Config {
     std::string name;
-    std::string listen_address;     // address:port
-    std::string feed_address;       // address:port; empty: none
-    std::string operators_address;  // address:port; empty: no address for operators
-    std::uint64_t seed = 0;
-    int memory_mb = 0, max_sockets = 0;
+    std::string listen_address;     // address:port for callers
+    std::string feed_address;       // address:port of the control feed; empty: no feed
+    std::string operators_address;  // address:port for operators' HTTP; empty: not served
+    std::uint64_t seed = 0;         // of the decision module's random numbers
+    int memory_mb = 0;              // memory limit, in MiB
+    int max_sockets = 0;            // limit of open sockets
     Settings settings;
     NetSettings net;
-    std::int64_t last_event_number = 0;  // the number of the last event
+    // The exchange list as it was when the file was written: number of its last event, and the events.
+    std::int64_t last_event_number = 0;
     std::vector<ListEvent> known_events;
 
-    // Where this process and the one that takes over from it meet; empty: nowhere.
+    // Path of the socket on which the successor process connects to this one; empty: no hand-over.
     std::string handover_path;
 
-    // After the order to end, until all that is owed must have been answered.
+    // Time from the order to shut down until every open set-up must have had its final answer.
     Duration shutdown_time_limit() const;
-    // The same where another process has taken over: it is given longer.
+    // The same after a successor process has taken over: the supervisor then waits longer.
     Duration shutdown_time_limit_superseded() const;
 };
 
-// From the environment (BALANCER_CONFIG names the file, TMPDIR a folder for the hand-over; BALANCER_NAME,
-// BALANCER_LISTEN and BALANCER_OPERATOR win over it). Throws json::BadInput.
+// Reads the configuration that the environment points to: BALANCER_CONFIG names the file, TMPDIR the folder
+// of the hand-over socket; BALANCER_NAME, BALANCER_LISTEN and BALANCER_OPERATOR override the file. Throws
+// json::BadInput.
 Config load();
 
-// From the text of the file.
+// Parses the text of a configuration file. Throws json::BadInput.
 Config parse_config(const std::string& text);
 
 }  // namespace nettlestall::config
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -1,4 +1,5 @@
-// Typed look-ups in JSON, whose complaints name the key.
+// Typed access to the members of JSON objects. Each function throws BadInput, with a message that names the
+// key, if a value is missing or has the wrong type or range.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -16,7 +17,7 @@
 
 using Value = rapidjson::Value;
 
-// What is wrong with the input, and where, in one line.
+// The input is not valid. what() says in one line what is wrong and where.
 struct BadInput : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -25,20 +26,22 @@
     throw BadInput(what);
 }
 
-[[noreturn]] inline void throw_bad_key(const char* key, const char* must) {
-    throw_bad_input(std::string("'").append(key).append("' must be ").append(must));
+// Throws "'key' must be <expected>".
+[[noreturn]] inline void throw_bad_key(const char* key, const char* expected) {
+    throw_bad_input(std::string("'").append(key).append("' must be ").append(expected));
 }
 
 [[noreturn]] inline void throw_missing_key(const char* key) {
     throw_bad_input(std::string("missing '").append(key).append("'"));
 }
 
-// The member's value; nothing if it is absent or null.
+// Returns the member's value, or nullptr if it is absent or null.
 inline const Value* find(const Value& object, const char* key) {
     const auto at = object.FindMember(key);
     return at == object.MemberEnd() || at->value.IsNull() ? nullptr : &at->value;
 }
 
+// How error messages name the type that is expected.
 template <class T>
 constexpr const char* type_name() {
     if constexpr (std::is_same_v<T, bool>) return "true or false";
@@ -46,29 +49,34 @@
     return std::is_integral_v<T> ? "a whole number" : "a number";
 }
 
+// Returns the value as a T. Integers may also be written as a whole number with a fraction of zero (3.0).
+// `key` serves the error message alone.
 template <class T>
-T convert(const Value& from, const char* key) {
+T convert(const Value& value, const char* key) {
     if constexpr (std::is_same_v<T, bool>) {
-        if (from.IsBool()) return from.GetBool();
+        if (value.IsBool()) return value.GetBool();
     } else if constexpr (std::is_same_v<T, std::string>) {
-        if (from.IsString()) return std::string(from.GetString(), from.GetStringLength());
+        if (value.IsString()) return std::string(value.GetString(), value.GetStringLength());
     } else if constexpr (std::is_integral_v<T>) {
-        if (from.IsUint64() && from.GetUint64() <= static_cast<std::uint64_t>(std::numeric_limits<T>::max()))
-            return static_cast<T>(from.GetUint64());
-        if (std::is_signed_v<T> && from.IsInt64() && from.GetInt64() < 0 &&
-            from.GetInt64() >= static_cast<std::int64_t>(std::numeric_limits<T>::min()))
-            return static_cast<T>(from.GetInt64());
-        // Two to the power of the type's digits: its largest value may not be exact as a double.
-        const double most = std::ldexp(1.0, std::numeric_limits<T>::digits);
-        if (from.IsDouble() && from.GetDouble() == std::floor(from.GetDouble()) && from.GetDouble() < most &&
-            from.GetDouble() >= (std::is_signed_v<T> ? -most : 0.0))
-            return static_cast<T>(from.GetDouble());
+        if (value.IsUint64() &&
+            value.GetUint64() <= static_cast<std::uint64_t>(std::numeric_limits<T>::max()))
+            return static_cast<T>(value.GetUint64());
+        if (std::is_signed_v<T> && value.IsInt64() && value.GetInt64() < 0 &&
+            value.GetInt64() >= static_cast<std::int64_t>(std::numeric_limits<T>::min()))
+            return static_cast<T>(value.GetInt64());
+        // The type's largest value may not be representable as a double, so compare with the power of two
+        // above it.
+        const double limit = std::ldexp(1.0, std::numeric_limits<T>::digits);
+        if (value.IsDouble() && value.GetDouble() == std::floor(value.GetDouble()) &&
+            value.GetDouble() < limit && value.GetDouble() >= (std::is_signed_v<T> ? -limit : 0.0))
+            return static_cast<T>(value.GetDouble());
     } else {
-        if (from.IsNumber()) return from.GetDouble();
+        if (value.IsNumber()) return value.GetDouble();
     }
     throw_bad_key(key, type_name<T>());
 }
 
+// Returns the member as a T; throws if it is absent or null.
 template <class T>
 T get_required(const Value& object, const char* key) {
     const Value* at = find(object, key);
@@ -76,12 +84,14 @@
     return convert<T>(*at, key);
 }
 
+// Returns the member as a T, or `default_value` if it is absent or null.
 template <class T>
-T get_or(const Value& object, const char* key, T otherwise) {
+T get_or(const Value& object, const char* key, T default_value) {
     const Value* at = find(object, key);
-    return at ? convert<T>(*at, key) : otherwise;
+    return at ? convert<T>(*at, key) : default_value;
 }
 
+// Returns the member, which must be an array (`array` is true) or an object.
 inline const Value& get_container(const Value& object, const char* key, bool array) {
     const Value* at = find(object, key);
     if (!at) throw_missing_key(key);
@@ -89,23 +99,26 @@
     return *at;
 }
 
+// The same; returns an empty array or object if the member is absent or null.
 inline const Value& get_container_or_empty(const Value& object, const char* key, bool array) {
-    static const Value kObject(rapidjson::kObjectType);
-    static const Value kArray(rapidjson::kArrayType);
-    return find(object, key) ? get_container(object, key, array) : (array ? kArray : kObject);
+    static const Value kEmptyObject(rapidjson::kObjectType);
+    static const Value kEmptyArray(rapidjson::kArrayType);
+    return find(object, key) ? get_container(object, key, array) : (array ? kEmptyArray : kEmptyObject);
 }
 
+// Converts seconds to a Duration, which counts microseconds. Throws beyond 1e12 s either way.
 inline Duration to_duration(double seconds) {
     if (!(std::abs(seconds) < 1e12)) throw_bad_input("a time is out of range");
     return Duration(std::llround(seconds * 1e6));
 }
 
+// Like get_required and get_or, for members that hold seconds.
 inline Duration get_required_duration(const Value& object, const char* key) {
     return to_duration(get_required<double>(object, key));
 }
 
-inline Duration get_duration_or(const Value& object, const char* key, double otherwise = 0.0) {
-    return to_duration(get_or(object, key, otherwise));
+inline Duration get_duration_or(const Value& object, const char* key, double default_seconds = 0.0) {
+    return to_duration(get_or(object, key, default_seconds));
 }
 
 }  // namespace nettlestall::json
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-struct Closer {
+// Frees the objects of libxml2.
+struct XmlDeleter {
     void operator()(xmlDoc* d) const { xmlFreeDoc(d); }
     void operator()(xmlParserCtxt* c) const { xmlFreeParserCtxt(c); }
     void operator()(xmlSchema* s) const { xmlSchemaFree(s); }
@@ -27,12 +28,12 @@
     void operator()(xmlSchemaValidCtxt* c) const { xmlSchemaFreeValidCtxt(c); }
 };
 template <class T>
-using Held = std::unique_ptr<T, Closer>;
+using XmlPtr = std::unique_ptr<T, XmlDeleter>;
 
-// Collects complaints with their place; all of them are told at once.
-class Complaints {
+// Collects errors with their file, line and element, to report them all at once.
+class ErrorList {
    public:
-    explicit Complaints(std::string file) : file_(std::move(file)) {}
+    explicit ErrorList(std::string file) : file_(std::move(file)) {}
     void add(long line, const std::string& element, std::string what) {
         while (!what.empty() && (what.back() == '\n' || what.back() == ' ')) what.pop_back();
         if (!text_.empty()) text_ += '\n';
@@ -42,15 +43,18 @@
     void add(const xmlNode* node, const std::string& what) {
         add(xmlGetLineNo(const_cast<xmlNode*>(node)), reinterpret_cast<const char*>(node->name), what);
     }
-    static void take(void* self, const xmlError* error) {
+    // Adds an error that libxml2 reports; `self` is the ErrorList.
+    static void on_xml_error(void* self, const xmlError* error) {
         const auto* node = static_cast<const xmlNode*>(error->node);
         const bool element = node && node->type == XML_ELEMENT_NODE;
-        static_cast<Complaints*>(self)->add(element ? xmlGetLineNo(const_cast<xmlNode*>(node)) : error->line,
-                                            element ? reinterpret_cast<const char*>(node->name) : "",
-                                            error->message ? error->message : "malformed");
+        static_cast<ErrorList*>(self)->add(element ? xmlGetLineNo(const_cast<xmlNode*>(node)) : error->line,
+                                           element ? reinterpret_cast<const char*>(node->name) : "",
+                                           error->message ? error->message : "malformed");
     }
-    static void take_plain(void* self, xmlError* error) { take(self, error); }
-    void tell() const {
+    // Has the signature that libxml2 declares for its callback.
+    static void on_xml_error_mutable(void* self, xmlError* error) { on_xml_error(self, error); }
+    // Throws if there are errors.
+    void throw_if_any() const {
         if (!text_.empty()) throw json::BadInput(text_);
     }
 
@@ -58,35 +62,37 @@
     std::string file_, text_;
 };
 
-Held<xmlDoc> parse(const std::string& text, const std::string& name, Complaints& complaints) {
-    Held<xmlParserCtxt> parser(xmlNewParserCtxt());
-    xmlSetStructuredErrorFunc(&complaints, &Complaints::take_plain);
-    // Neither the net nor entities: a file can't make this one read another, or grow beyond its size.
-    Held<xmlDoc> document(xmlCtxtReadMemory(parser.get(), text.data(), static_cast<int>(text.size()),
-                                            name.c_str(), nullptr, XML_PARSE_NONET | XML_PARSE_NOCDATA));
+XmlPtr<xmlDoc> parse(const std::string& text, const std::string& name, ErrorList& errors) {
+    XmlPtr<xmlParserCtxt> parser(xmlNewParserCtxt());
+    xmlSetStructuredErrorFunc(&errors, &ErrorList::on_xml_error_mutable);
+    // Without network access and entity substitution, so that the file can neither make this process read
+    // another file nor expand beyond its own size.
+    XmlPtr<xmlDoc> document(xmlCtxtReadMemory(parser.get(), text.data(), static_cast<int>(text.size()),
+                                              name.c_str(), nullptr, XML_PARSE_NONET | XML_PARSE_NOCDATA));
     xmlSetStructuredErrorFunc(nullptr, nullptr);
-    if (document && xmlGetIntSubset(document.get())) complaints.add(1, "", "a document type is not expected");
-    if (!document) complaints.add(1, "", "an XML document is expected");
-    complaints.tell();
+    if (document && xmlGetIntSubset(document.get())) errors.add(1, "", "a document type is not expected");
+    if (!document) errors.add(1, "", "an XML document is expected");
+    errors.throw_if_any();
     return document;
 }
 
-void validate(xmlDoc* document, Complaints& complaints) {
-    Held<xmlSchemaParserCtxt> reader(
+void validate(xmlDoc* document, ErrorList& errors) {
+    XmlPtr<xmlSchemaParserCtxt> schema_parser(
         xmlSchemaNewMemParserCtxt(kOperatorSchema, static_cast<int>(std::strlen(kOperatorSchema))));
-    Held<xmlSchema> schema(xmlSchemaParse(reader.get()));
+    XmlPtr<xmlSchema> schema(xmlSchemaParse(schema_parser.get()));
     if (!schema) throw json::BadInput("the schema of the operator's file can't be read");
-    Held<xmlSchemaValidCtxt> check(xmlSchemaNewValidCtxt(schema.get()));
-    xmlSchemaSetValidStructuredErrors(check.get(), &Complaints::take_plain, &complaints);
-    xmlSchemaSetValidOptions(check.get(),
+    XmlPtr<xmlSchemaValidCtxt> validator(xmlSchemaNewValidCtxt(schema.get()));
+    xmlSchemaSetValidStructuredErrors(validator.get(), &ErrorList::on_xml_error_mutable, &errors);
+    xmlSchemaSetValidOptions(validator.get(),
                              XML_SCHEMA_VAL_VC_I_CREATE);  // writes the defaults into the document
-    xmlSchemaValidateDoc(check.get(), document);
-    complaints.tell();
+    xmlSchemaValidateDoc(validator.get(), document);
+    errors.throw_if_any();
 }
 
-// ---- Values: the schema has checked their form and range -------------------------------------------------
+// ---- Attribute values, whose form and range the schema has checked ---------------------------------------
 
-std::string text_of(const xmlNode* node, const char* name) {
+// The attribute's text; empty if it is absent.
+std::string get_text(const xmlNode* node, const char* name) {
     xmlChar* const value = xmlGetProp(node, reinterpret_cast<const xmlChar*>(name));
     std::string text = value ? reinterpret_cast<const char*>(value) : "";
     if (value) xmlFree(value);
@@ -99,150 +105,158 @@
 }
 
 template <class T>
-T number_of(const xmlNode* node, const char* name) {
-    std::string text = trimmed(text_of(node, name));
+T get_number(const xmlNode* node, const char* name) {
+    std::string text = trimmed(get_text(node, name));
     if (!text.empty() && text.front() == '+') text.erase(0, 1);
     T value{};
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
 }
 
-Duration time_of(const xmlNode* node, const char* name) {
-    return Duration(std::llround(number_of<double>(node, name) * 1e6));
+// The attribute holds seconds.
+Duration get_duration(const xmlNode* node, const char* name) {
+    return Duration(std::llround(get_number<double>(node, name) * 1e6));
 }
 
-bool is_true(const xmlNode* node, const char* name) {
-    const std::string text = trimmed(text_of(node, name));
+bool get_bool(const xmlNode* node, const char* name) {
+    const std::string text = trimmed(get_text(node, name));
     return text == "true" || text == "1";
 }
 
 template <class F>
-void for_each_child(const xmlNode* of, F&& found) {
-    for (const xmlNode* child = of->children; child; child = child->next)
+void for_each_child(const xmlNode* parent, F&& visit) {
+    for (const xmlNode* child = parent->children; child; child = child->next)
         if (child->type == XML_ELEMENT_NODE)
-            found(child, std::string(reinterpret_cast<const char*>(child->name)));
+            visit(child, std::string(reinterpret_cast<const char*>(child->name)));
 }
 
-// An address and a port that can be: the schema sees only the form.
-void check_address(const xmlNode* node, const char* name, Complaints& complaints) {
-    const std::string text = text_of(node, name);
+// Checks the ranges of the port and, in an IPv4 address, of the four numbers; the schema checks
+// only the form.
+void check_address(const xmlNode* node, const char* name, ErrorList& errors) {
+    const std::string text = get_text(node, name);
     if (text.empty()) return;
     const auto colon = text.rfind(':');
-    int port = -1, part = 0;
+    int port = -1, octet = 0;
     std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
-    bool good = port >= 1 && port <= 65535;
+    bool valid = port >= 1 && port <= 65535;
     if (text.front() != '[')
-        for (const char* at = text.data(); good && at < text.data() + colon; ++at) {
-            const auto end = std::from_chars(at, text.data() + colon, part).ptr;
-            good = part <= 255;
+        for (const char* at = text.data(); valid && at < text.data() + colon; ++at) {
+            const auto end = std::from_chars(at, text.data() + colon, octet).ptr;
+            valid = octet <= 255;
             at = end;
         }
-    if (!good)
-        complaints.add(node, std::string("attribute '") + name +
-                                 "': an address and a port from 1 to 65535 are "
-                                 "expected, as in 127.0.0.1:7001");
+    if (!valid)
+        errors.add(node, std::string("attribute '") + name +
+                             "': an address and a port from 1 to 65535 are "
+                             "expected, as in 127.0.0.1:7001");
 }
 
 trunk::GroupSettings read_group(const xmlNode* node, trunk::PointCode own) {
-    trunk::GroupSettings g;
-    g.id = number_of<std::uint32_t>(node, "id");
-    g.exchange = text_of(node, "exchange");
-    g.number = number_of<int>(node, "number");
-    g.zone = text_of(node, "zone");
-    g.rules.ends = {own, number_of<int>(node, "far-point")};
-    g.rules.circuits = number_of<int>(node, "circuits");
-    for_each_child(node, [&g](const xmlNode* part, const std::string& name) {
+    trunk::GroupSettings group;
+    group.id = get_number<std::uint32_t>(node, "id");
+    group.exchange = get_text(node, "exchange");
+    group.number = get_number<int>(node, "number");
+    group.zone = get_text(node, "zone");
+    group.rules.ends = {own, get_number<int>(node, "far-point")};
+    group.rules.circuits = get_number<int>(node, "circuits");
+    for_each_child(node, [&group](const xmlNode* part, const std::string& name) {
         if (name == "audit") {
-            g.rules.audit.on = is_true(part, "on");
-            g.rules.audit.every = time_of(part, "every-s");
-            g.rules.audit.patience = time_of(part, "patience-s");
-            g.rules.audit.confirmations = number_of<int>(part, "confirmations");
+            group.rules.audit.on = get_bool(part, "on");
+            group.rules.audit.every = get_duration(part, "every-s");
+            group.rules.audit.patience = get_duration(part, "patience-s");
+            group.rules.audit.confirmations = get_number<int>(part, "confirmations");
         } else {
-            g.rules.release_guard = time_of(part, "release-guard-s");
-            g.rules.reset_again = time_of(part, "reset-again-s");
-            g.rules.hold = time_of(part, "hold-s");
+            group.rules.release_guard = get_duration(part, "release-guard-s");
+            group.rules.reset_again = get_duration(part, "reset-again-s");
+            group.rules.hold = get_duration(part, "hold-s");
         }
     });
-    return g;
+    return group;
 }
 
-// What a schema can't tell: how values must fit together.
-class Relations {
+// Checks what the schema cannot express: that values are unique and that they are consistent with each other.
+class ConsistencyChecker {
    public:
-    explicit Relations(Complaints& complaints) : complaints_(complaints) {}
+    explicit ConsistencyChecker(ErrorList& errors) : errors_(errors) {}
 
-    void exchange(const xmlNode* node) {
-        if (!once(exchanges_, text_of(node, "exchange"), node))
-            complain(node, "exchange", "is another element's");
-        if (!once(numbers_, text_of(node, "number"), node)) complain(node, "number", "is another element's");
+    void check_exchange(const xmlNode* node) {
+        if (!is_unique(exchanges_, get_text(node, "exchange"), node))
+            add_duplicate(node, "exchange", "is another element's");
+        if (!is_unique(numbers_, get_text(node, "number"), node))
+            add_duplicate(node, "number", "is another element's");
     }
-    void group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& g) {
-        if (!once(groups_, std::to_string(g.id), node)) complain(node, "id", "is another group's");
-        const bool dials = !text_of(node, "dial").empty();
-        if (g.rules.ends.own == g.rules.ends.far) complain(node, "far-point", "is this hub's own point");
-        if (g.rules.ends.own < g.rules.ends.far && !dials)
-            complaints_.add(node, "attribute 'dial' is expected: the hub with the lower point code dials");
-        if (g.rules.ends.own > g.rules.ends.far && dials)
-            complaints_.add(
-                node, "attribute 'dial' is not expected: the far hub has the lower point code and dials");
-        if (g.rules.ends.own > g.rules.ends.far && text_of(trunk, "listen").empty())
-            complaints_.add(trunk, "attribute 'listen' is expected: the far hub of group " +
-                                       std::to_string(g.id) + " dials this one");
-        if (g.rules.audit.patience > g.rules.audit.every)
-            complaints_.add(node, "<audit>: 'patience-s' of at most 'every-s' is expected");
+    void check_group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& group) {
+        if (!is_unique(groups_, std::to_string(group.id), node))
+            add_duplicate(node, "id", "is another group's");
+        const bool dials = !get_text(node, "dial").empty();
+        if (group.rules.ends.own == group.rules.ends.far)
+            add_duplicate(node, "far-point", "is this hub's own point");
+        if (group.rules.ends.own < group.rules.ends.far && !dials)
+            errors_.add(node, "attribute 'dial' is expected: the hub with the lower point code dials");
+        if (group.rules.ends.own > group.rules.ends.far && dials)
+            errors_.add(node,
+                        "attribute 'dial' is not expected: the far hub has the lower point code and dials");
+        if (group.rules.ends.own > group.rules.ends.far && get_text(trunk, "listen").empty())
+            errors_.add(trunk, "attribute 'listen' is expected: the far hub of group " +
+                                   std::to_string(group.id) + " dials this one");
+        if (group.rules.audit.patience > group.rules.audit.every)
+            errors_.add(node, "<audit>: 'patience-s' of at most 'every-s' is expected");
     }
 
    private:
-    bool once(std::map<std::string, const xmlNode*>& known, const std::string& key, const xmlNode* node) {
-        return known.emplace(key, node).second;
+    // Notes the key; false if another element has it already.
+    bool is_unique(std::map<std::string, const xmlNode*>& seen, const std::string& key, const xmlNode* node) {
+        return seen.emplace(key, node).second;
     }
-    void complain(const xmlNode* node, const char* attribute, const char* what) {
-        complaints_.add(node, std::string("attribute '") + attribute + "': '" + text_of(node, attribute) +
-                                  "' " + what + "; each is expected once");
+    void add_duplicate(const xmlNode* node, const char* attribute, const char* what) {
+        errors_.add(node, std::string("attribute '") + attribute + "': '" + get_text(node, attribute) + "' " +
+                              what + "; each is expected once");
     }
-    Complaints& complaints_;
+    ErrorList& errors_;
     std::map<std::string, const xmlNode*> exchanges_, numbers_, groups_;
 };
 
-TrunkSettings read_trunk(const xmlNode* node, Complaints& complaints) {
-    TrunkSettings t;
-    t.point_code = number_of<int>(node, "point");
-    t.exchange_number = number_of<int>(node, "number");
-    t.listen_address = text_of(node, "listen");
-    t.ledger_folder = text_of(node, "ledger");
-    check_address(node, "listen", complaints);
-    Relations relations(complaints);
+TrunkSettings read_trunk(const xmlNode* node, ErrorList& errors) {
+    TrunkSettings settings;
+    settings.point_code = get_number<int>(node, "point");
+    settings.exchange_number = get_number<int>(node, "number");
+    settings.listen_address = get_text(node, "listen");
+    settings.ledger_folder = get_text(node, "ledger");
+    check_address(node, "listen", errors);
+    ConsistencyChecker checker(errors);
     for_each_child(node, [&](const xmlNode* child, const std::string& name) {
-        relations.exchange(child);
+        checker.check_exchange(child);
         if (name == "lines") {
-            check_address(child, "address", complaints);
-            ListedExchange& lines = t.lines.emplace_back();
-            lines.entry.exchange = text_of(child, "exchange");
-            lines.entry.number = number_of<int>(child, "number");
-            lines.entry.zone = text_of(child, "zone");
+            check_address(child, "address", errors);
+            ListedExchange& lines = settings.lines.emplace_back();
+            lines.entry.exchange = get_text(child, "exchange");
+            lines.entry.number = get_number<int>(child, "number");
+            lines.entry.zone = get_text(child, "zone");
             lines.entry.lines_only = true;
-            lines.address = text_of(child, "address");
+            lines.address = get_text(child, "address");
             return;
         }
-        check_address(child, "dial", complaints);
-        t.groups.push_back({read_group(child, t.point_code), text_of(child, "dial")});
-        relations.group(child, node, t.groups.back().settings);
+        check_address(child, "dial", errors);
+        settings.groups.push_back({read_group(child, settings.point_code), get_text(child, "dial")});
+        checker.check_group(child, node, settings.groups.back().settings);
     });
-    return t;
+    return settings;
 }
 
 }  // namespace
 
 OperatorFile parse_operator_file(const std::string& text, const std::string& name) {
-    Complaints complaints(name);
-    const Held<xmlDoc> document = parse(text, name, complaints);
-    validate(document.get(), complaints);
+    ErrorList errors(name);
+    const XmlPtr<xmlDoc> document = parse(text, name, errors);
+    validate(document.get(), errors);
     OperatorFile file;
-    for_each_child(xmlDocGetRootElement(document.get()), [&](const xmlNode* part, const std::string& what) {
-        if (what == "trunk") file.trunk = read_trunk(part, complaints);
-        if (what == "log") file.log = {text_of(part, "format") == "json", text_of(part, "level")};
-    });
-    complaints.tell();
+    for_each_child(xmlDocGetRootElement(document.get()),
+                   [&](const xmlNode* child, const std::string& element) {
+                       if (element == "trunk") file.trunk = read_trunk(child, errors);
+                       if (element == "log")
+                           file.log = {get_text(child, "format") == "json", get_text(child, "level")};
+                   });
+    errors.throw_if_any();
     return file;
 }
 
@@ -256,7 +270,7 @@
 
 std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after) {
     if (before.trunk.has_value() != after.trunk.has_value())
-        return "<trunk> can come or go only with a restart";
+        return "<trunk> can be added or removed only with a restart";
     if (!before.trunk) return {};
     const TrunkSettings &a = *before.trunk, &b = *after.trunk;
     if (a.point_code != b.point_code || a.exchange_number != b.exchange_number ||
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,5 +1,5 @@
-// The operator's own file (deploy/nettlestall.xml, after deploy/nettlestall.xsd): read, checked and given
-// defaults here and nowhere else. Nothing in it is on unless it is there.
+// The operator's file (example: deploy/nettlestall.xml; schema: deploy/nettlestall.xsd). All of its reading,
+// checking and defaulting is in this module. A feature is off unless the file has its element.
 #pragma once
 
 #include <optional>
@@ -11,34 +11,39 @@
 
 namespace nettlestall::config {
 
+// The element <log>.
 struct LogSettings {
-    bool json = false;
-    std::string level = "info";  // debug, info, warning, error
+    bool json = false;           // false: lines of text
+    std::string level = "info";  // debug, info, warning or error
 };
 
+// The element <trunk>: this hub's identity and its circuit groups to other hubs.
 struct TrunkSettings {
     trunk::PointCode point_code = 1;
     int exchange_number = kNowhere;
-    std::string listen_address;  // address:port; empty: nobody dials this hub
-    std::string ledger_folder;   // a folder; empty: none
-    std::vector<ListedExchange> lines;
+    std::string listen_address;         // address:port; empty: no other hub connects to this one
+    std::string ledger_folder;          // empty: circuits are not recorded on disk
+    std::vector<ListedExchange> lines;  // carrier switches that serve this hub's own numbers
     struct Group {
         trunk::GroupSettings settings;
-        std::string dial_address;  // address:port; empty: the far hub dials
+        std::string dial_address;  // address:port of the far hub; empty: the far hub connects
     };
     std::vector<Group> groups;
 };
 
+// The file's contents.
 struct OperatorFile {
     LogSettings log;
     std::optional<TrunkSettings> trunk;
 };
 
-// Throws json::BadInput, whose text has a line for each complaint: file, line, element and what was expected.
+// Both throw json::BadInput, whose text has one line for each error: file, line, element and what was
+// expected. `name` is the file name that the errors show.
 OperatorFile read_operator_file(const std::string& path);
 OperatorFile parse_operator_file(const std::string& text, const std::string& name);
 
-// What a reload can't take over in service: groups, hubs and addresses; empty: nothing differs in these.
+// Says which difference between the two files needs a restart (hubs, addresses, groups); empty: none, so that
+// a reload can apply the new file in service.
 std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after);
 
 }  // namespace nettlestall::config
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,11 +12,12 @@
 namespace nettlestall::log {
 namespace {
 
-constexpr std::string_view kNames[] = {"debug", "info", "warning", "error"};
-constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
-                                                 spdlog::level::warn, spdlog::level::err};
+constexpr std::string_view kLevelNames[] = {"debug", "info", "warning", "error"};
+constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug, spdlog::level::info,
+                                                       spdlog::level::warn, spdlog::level::err};
 
-std::string now() {
+// The time of day in UTC, in the format of RFC 3339 with milliseconds.
+std::string current_timestamp() {
     const auto time = std::chrono::system_clock::now();
     const std::time_t seconds = std::chrono::system_clock::to_time_t(time);
     const auto millis =
@@ -27,21 +28,22 @@
                        parts.tm_mday, parts.tm_hour, parts.tm_min, parts.tm_sec, millis);
 }
 
-// Whatever peers put into a text: a line stays one line, and JSON stays JSON.
-std::string printable(std::string_view text) {
-    std::string clean;
+// Escapes all bytes but printable ASCII, because texts may hold what peers have sent: a text line must stay
+// one line, and JSON must stay valid.
+std::string escape(std::string_view text) {
+    std::string escaped;
     for (const char c : text) {
         const auto byte = static_cast<unsigned char>(c);
-        byte < 0x20 || byte >= 0x7f ? clean += fmt::format("\\x{:02x}", byte) : clean += c;
+        byte < 0x20 || byte >= 0x7f ? escaped += fmt::format("\\x{:02x}", byte) : escaped += c;
     }
-    return clean;
+    return escaped;
 }
 
 }  // namespace
 
 Level parse_level(std::string_view name) {
-    for (std::size_t i = 0; i < std::size(kNames); ++i)
-        if (kNames[i] == name) return static_cast<Level>(i);
+    for (std::size_t i = 0; i < std::size(kLevelNames); ++i)
+        if (kLevelNames[i] == name) return static_cast<Level>(i);
     return Level::info;
 }
 
@@ -53,9 +55,9 @@
         out.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
     };
     out.StartObject();
-    field("time", time), field("level", kNames[static_cast<std::size_t>(level)]);
-    if (!call.empty()) field("call", printable(call));
-    field("text", printable(text));
+    field("time", time), field("level", kLevelNames[static_cast<std::size_t>(level)]);
+    if (!call.empty()) field("call", escape(call));
+    field("text", escape(text));
     out.EndObject();
     return line.GetString();
 }
@@ -70,20 +72,21 @@
 
 void Log::configure(bool json, Level level) {
     json_ = json;
-    logger_->set_level(kLevels[static_cast<std::size_t>(level)]);
+    logger_->set_level(kSpdlogLevels[static_cast<std::size_t>(level)]);
 }
 
 bool Log::is_enabled(Level level) const {
-    return logger_->should_log(kLevels[static_cast<std::size_t>(level)]);
+    return logger_->should_log(kSpdlogLevels[static_cast<std::size_t>(level)]);
 }
 
 void Log::write(Level level, std::string_view text, std::string_view call) {
     if (!is_enabled(level)) return;
-    const auto at = kLevels[static_cast<std::size_t>(level)];
-    if (json_) return logger_->log(at, format_json(now(), level, text, call));
-    const std::string about = call.empty() ? std::string() : " call=" + printable(call);
-    logger_->log(at, fmt::format("{} {} {}{}", now(), kNames[static_cast<std::size_t>(level)],
-                                 printable(text), about));
+    const auto spdlog_level = kSpdlogLevels[static_cast<std::size_t>(level)];
+    if (json_) return logger_->log(spdlog_level, format_json(current_timestamp(), level, text, call));
+    const std::string call_field = call.empty() ? std::string() : " call=" + escape(call);
+    logger_->log(spdlog_level,
+                 fmt::format("{} {} {}{}", current_timestamp(), kLevelNames[static_cast<std::size_t>(level)],
+                             escape(text), call_field));
 }
 
 }  // namespace nettlestall::log
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,5 @@
-// The program's log, on standard error: lines of text for a terminal, or JSON objects, one a line. A line
-// that is about a call carries the call's id. Nothing is written while it is below the level.
+// The program's log, on standard error: lines of text for a terminal, or one JSON object per line. A message
+// about a call carries the call's id. Messages below the configured level are dropped.
 #pragma once
 
 #include <memory>
@@ -13,16 +13,23 @@
 namespace nettlestall::log {
 
 enum class Level { debug, info, warning, error };
-Level parse_level(std::string_view name);  // one that is not known counts as info
 
+// Returns the level with that name; Level::info if there is none.
+Level parse_level(std::string_view name);
+
+// Writes lines of text from Level::info on until it is configured otherwise.
 class Log {
    public:
     Log();
     ~Log();
 
+    // Sets the format (JSON or text) and the lowest level that is written.
     void configure(bool json, Level level);
+    // True if messages of that level are written.
     bool is_enabled(Level level) const;
 
+    // Each writes one line; `call` is the id of the call that the message is about, or empty. Bytes other
+    // than printable ASCII are escaped as \xNN.
     void write(Level level, std::string_view text, std::string_view call = {});
     void debug(std::string_view text, std::string_view call = {}) { write(Level::debug, text, call); }
     void info(std::string_view text, std::string_view call = {}) { write(Level::info, text, call); }
@@ -34,7 +41,8 @@
     bool json_ = false;
 };
 
-// One line, without its end, as it is written with `json`: for tests too. `time` is UTC, as in RFC 3339.
+// Returns a message in the JSON format, without the line end. `time` is UTC in the format of RFC 3339. Public
+// for tests.
 std::string format_json(std::string_view time, Level level, std::string_view text, std::string_view call);
 
 }  // namespace nettlestall::log
