--- a/tests/trunk/glare_test.cpp
+++ b/tests/trunk/glare_test.cpp
@@ -1,5 +1,6 @@
-// Simultaneous seizures between two processes: both ends' callers call at the same moment, over and over. One
-// answer a call, and nothing stays busy. The second word is for how many seconds.
+// Dual seizures between two gatekeeper processes: callers of both ends call at the same moment, over and
+// over. Each call must get exactly one final answer, and no circuit may stay busy. The second argument is the
+// duration in seconds.
 #include <poll.h>
 
 #include <chrono>
@@ -12,12 +13,13 @@
 
 namespace {
 
-struct Tally {
-    int calls = 0, answered = 0, turned_away = 0;
-    std::map<CallId, int> finals;
+struct CallCounts {
+    int calls = 0, answered = 0, rejected = 0;
+    std::map<CallId, int> final_answers;
 };
 
-int figure(int port, const std::string& name) {
+// The value of a metric at the operators' address; 0 if it is missing.
+int get_metric(int port, const std::string& name) {
     const std::string text = operator_reply(port, "GET /metrics");
     const auto at = text.find(name + ":");
     return at == std::string::npos ? 0 : std::atoi(text.c_str() + at + name.size() + 1);
@@ -25,14 +27,14 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const double seconds = count > 2 ? std::atof(words[2]) : 3.0;
-    Hubs hubs(words[1], 4, false);
+int main(int count, char** arguments) {
+    const double seconds = count > 2 ? std::atof(arguments[2]) : 3.0;
+    Hubs hubs(arguments[1], 4, false);
     Peer lines[2] = {hubs.lines(Hubs::a), hubs.lines(Hubs::b)};
     hubs.await_link();
     Peer callers[2] = {Peer::connect(hubs.at(Hubs::a).callers), Peer::connect(hubs.at(Hubs::b).callers)};
-    Tally tally;
-    std::uint64_t number = 0;
+    CallCounts counts;
+    std::uint64_t last_id = 0;
     const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
     while (std::chrono::steady_clock::now() < end) {
         std::string bytes[2];
@@ -40,11 +42,11 @@
         for (int i = 0; i < 2; ++i)
             for (int h = 0; h < 2; ++h) {
                 char id[17];
-                std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++number));
-                // Three of four circuits: two such calls can't both stand.
+                std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++last_id));
+                // Each takes three of the four circuits, so at most one of the two can be answered.
                 bytes[h] += Hubs::call_to(id, 2 - h, i == 0 ? "live-board" : "move", 2000);
                 open[id] = h;
-                ++tally.calls;
+                ++counts.calls;
             }
         callers[0].send(bytes[0]), callers[1].send(bytes[1]);
         while (!open.empty()) {
@@ -63,10 +65,10 @@
                     CHECK(callers[h].receive_available([&](const Message& message) {
                         const CallId call = message.call();
                         if (message.type == MessageType::answer) {
-                            ++tally.answered, ++tally.finals[call];
+                            ++counts.answered, ++counts.final_answers[call];
                             callers[h].send(release(call, 16));
                         } else if (message.type == MessageType::release) {
-                            ++tally.turned_away, ++tally.finals[call];
+                            ++counts.rejected, ++counts.final_answers[call];
                         } else {
                             return;
                         }
@@ -75,18 +77,18 @@
             }
         }
     }
-    CHECK(static_cast<int>(tally.finals.size()) == tally.calls);
-    for (const auto& [call, finals] : tally.finals) CHECK(finals == 1);
+    CHECK(static_cast<int>(counts.final_answers.size()) == counts.calls);
+    for (const auto& [call, final_answers] : counts.final_answers) CHECK(final_answers == 1);
     hubs.await_idle();
-    int glares = 0, lost = 0, seizures = 0;
+    int glares = 0, glares_lost = 0, seizures = 0;
     for (int h = 0; h < 2; ++h) {
-        glares += figure(hubs.at(h).operators, "app.trunk.7.glares");
-        lost += figure(hubs.at(h).operators, "app.trunk.7.glares_lost");
-        seizures += figure(hubs.at(h).operators, "app.trunk.7.seizures");
-        CHECK(figure(hubs.at(h).operators, "app.trunk.7.audit_freed") == 0);
-        CHECK(figure(hubs.at(h).operators, "app.trunk.7.contradictions") == 0);
+        glares += get_metric(hubs.at(h).operators, "app.trunk.7.glares");
+        glares_lost += get_metric(hubs.at(h).operators, "app.trunk.7.glares_lost");
+        seizures += get_metric(hubs.at(h).operators, "app.trunk.7.seizures");
+        CHECK(get_metric(hubs.at(h).operators, "app.trunk.7.audit_freed") == 0);
+        CHECK(get_metric(hubs.at(h).operators, "app.trunk.7.contradictions") == 0);
     }
-    std::printf("%d calls, %d answered, %d refused or failed; %d seizures, %d glares lost\n", tally.calls,
-                tally.answered, tally.turned_away, seizures, lost);
-    CHECK(lost > 0 && glares >= lost);
+    std::printf("%d calls, %d answered, %d refused or failed; %d seizures, %d glares lost\n", counts.calls,
+                counts.answered, counts.rejected, seizures, glares_lost);
+    CHECK(glares_lost > 0 && glares >= glares_lost);
 }
--- a/tests/trunk/hubs.hpp
+++ b/tests/trunk/hubs.hpp
@@ -1,4 +1,5 @@
-// Two real gatekeepers joined by a circuit group on loopback, with callers and lines of the test's own.
+// Two gatekeeper processes joined by circuit group 7 on loopback. The test plays their callers and carrier
+// switches.
 #pragma once
 
 #include <filesystem>
@@ -8,22 +9,26 @@
 
 namespace nettlestall::test {
 
+// Starts both processes; the destructor ends them and removes their folders. Hub a has exchange number 1 and
+// point code 10, hub b has 2 and 20.
 struct Hubs {
     enum { a, b };
 
     struct Hub {
+        // Ports of the addresses for callers, for operators and for other hubs.
         int callers = Listener().port(), operators = Listener().port(), trunk = Listener().port();
-        Listener lines;
+        Listener lines;  // where the carrier switch listens
         std::string folder, file;
         std::unique_ptr<Program> program;
     };
 
-    // `ledgers`: the hubs have a folder for theirs. Calls may be `live-board`, three circuits wide.
+    // `ledgers`: both hubs record their circuits on disk. `parts`: children of <group>. Calls of the class
+    // `live-board` take three circuits, those of `move` one.
     Hubs(const char* path, int circuits, bool ledgers, const std::string& parts = "") : path_(path) {
         for (int h : {a, b}) {
             Hub& hub = at(h);
-            hub.folder = "/tmp/trunk_test." + std::to_string(getpid()) + '.' + std::to_string(++count()) +
-                         (h ? "b" : "a");
+            hub.folder = "/tmp/trunk_test." + std::to_string(getpid()) + '.' +
+                         std::to_string(++instance_count()) + (h ? "b" : "a");
             std::filesystem::create_directories(hub.folder);
             hub.file = hub.folder + "/nettlestall.xml";
             write_file(h, circuits, ledgers, parts);
@@ -39,6 +44,7 @@
 
     Hub& at(int h) { return hubs_[h]; }
 
+    // Writes the operator's file of hub h.
     void write_file(int h, int circuits, bool ledgers, const std::string& parts = "") {
         Hub& hub = at(h);
         const std::string own = std::to_string(h + 1), far = std::to_string(2 - h);
@@ -67,28 +73,32 @@
         at(h).program =
             std::make_unique<Program>(path_, config(h), at(h).operators, at(h).folder, at(h).file);
     }
-    // A second process beside the first, which is to take over from it.
+    // Starts a second process of hub h, which is to take over from the first one.
     std::unique_ptr<Program> successor(int h, int operators) {
         return std::make_unique<Program>(path_, config(h), operators, at(h).folder, at(h).file);
     }
-    // Kills it outright and starts it anew.
+    // Kills the process and starts it again.
     void crash(int h) {
         at(h).program.reset();
         start(h);
     }
+    // Accepts the hub's connection to its carrier switch and reports free lines.
     Peer lines(int h) {
         Peer peer = at(h).lines.accept();
         peer.send(group_state("x0:500;x1:500"));
         return peer;
     }
+    // Waits until the group is up at both hubs.
     void await_link() {
         for (int h : {a, b})
             while (operator_reply(at(h).operators, "GET /circuits").find(" up ") == std::string::npos)
                 usleep(5000);
     }
-    std::string circuits(int h, const std::string& more = "/7?all=1") {
-        return operator_reply(at(h).operators, "GET /circuits" + more);
+    // The operators' table of circuits; with an empty `path`, that of groups.
+    std::string circuits(int h, const std::string& path = "/7?all=1") {
+        return operator_reply(at(h).operators, "GET /circuits" + path);
     }
+    // The number of circuits that are not idle at hub h.
     int busy(int h) {
         const std::string text = circuits(h);
         int found = 0;
@@ -97,11 +107,13 @@
             found += text.substr(at, text.find('\n', at) - at).find(" idle ") == std::string::npos;
         return found;
     }
+    // Waits until all circuits are idle at both hubs.
     void await_idle() {
         for (int h : {a, b})
             while (busy(h) > 0) usleep(5000);
     }
 
+    // The bytes of a set-up to exchange number `to`.
     static std::string call_to(const CallId& call, int to, const char* service_class = "move",
                                int patience_ms = 20'000) {
         const int width = std::string(service_class) == "live-board" ? 3 : 1;
@@ -117,9 +129,9 @@
     }
 
    private:
-    static int& count() {
-        static int pairs = 0;
-        return pairs;
+    static int& instance_count() {
+        static int instances = 0;
+        return instances;
     }
     const char* path_;
     Hub hubs_[2];
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -1,4 +1,4 @@
-// The trunk signalling in the program itself: two processes on loopback.
+// The trunk signalling in the gatekeeper program: two processes joined by a circuit group on loopback.
 #include <poll.h>
 
 #include <map>
@@ -12,116 +12,117 @@
 namespace {
 
 constexpr int a = Hubs::a, b = Hubs::b;
-const CallId one = "0000000000000001", two = "0000000000000002", three = "0000000000000003";
+const CallId kOne = "0000000000000001", kTwo = "0000000000000002", kThree = "0000000000000003";
 
-void a_call_goes_over_the_group_and_back(const char* path) {
+void calls_pass_both_ways_over_the_group(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.send(Hubs::call_to(one, 2, "live-board"));
+    caller.send(Hubs::call_to(kOne, 2, "live-board"));
     const Received offer = lines_b.receive();
-    CHECK(offer.type == MessageType::set_up && offer.call == one && offer.service_class == "live-board");
-    CHECK(offer.number == "7f3a" && offer.description == "offer of " + one);
+    CHECK(offer.type == MessageType::set_up && offer.call == kOne && offer.service_class == "live-board");
+    CHECK(offer.number == "7f3a" && offer.description == "offer of " + kOne);
     CHECK(hubs.busy(a) == 3 && hubs.busy(b) == 3);
-    lines_b.send(answer(one));
+    lines_b.send(answer(kOne));
     const Received answered = caller.receive();
-    CHECK(answered.type == MessageType::answer && answered.description == "media\r\n of " + one);
-    lines_b.send(release(one, 16));
+    CHECK(answered.type == MessageType::answer && answered.description == "media\r\n of " + kOne);
+    lines_b.send(release(kOne, 16));
     const Received over = caller.receive();
-    CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
+    CHECK(over.type == MessageType::release && over.call == kOne && over.cause == 16);
     hubs.await_idle();
-    // The other way, ended by the caller; then one that the far lines refuse.
+    // A call in the other direction, which its caller ends.
     Peer other = Peer::connect(hubs.at(b).callers);
-    other.send(Hubs::call_to(two, 1));
-    CHECK(lines_a.receive().call == two);
-    lines_a.send(answer(two));
+    other.send(Hubs::call_to(kTwo, 1));
+    CHECK(lines_a.receive().call == kTwo);
+    lines_a.send(answer(kTwo));
     CHECK(other.receive().type == MessageType::answer);
-    other.send(release(two, 16));
+    other.send(release(kTwo, 16));
     CHECK(lines_a.receive().type == MessageType::release);
     hubs.await_idle();
 }
 
-// What stood before a crash is known after it: the callee's end still reaches the caller.
-void a_standing_call_survives_a_crash(const char* path) {
+// With a ledger, a call that was answered before a crash is restored: the callee's release still reaches the
+// caller.
+void answered_call_survives_a_crash(const char* path) {
     for (const int crashed : {a, b}) {
         Hubs hubs(path, 4, true);
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
         Peer caller = Peer::connect(hubs.at(a).callers);
-        caller.send(Hubs::call_to(one, 2));
-        CHECK(lines_b.receive().call == one);
-        lines_b.send(answer(one));
+        caller.send(Hubs::call_to(kOne, 2));
+        CHECK(lines_b.receive().call == kOne);
+        lines_b.send(answer(kOne));
         CHECK(caller.receive().type == MessageType::answer);
         hubs.crash(crashed);
         Peer lines_again = hubs.lines(crashed);
         hubs.await_link();
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
         Peer caller_again = crashed == a ? Peer::connect(hubs.at(a).callers) : std::move(caller);
-        (crashed == b ? lines_again : lines_b).send(release(one, 16));
+        (crashed == b ? lines_again : lines_b).send(release(kOne, 16));
         const Received over = caller_again.receive();
-        CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
+        CHECK(over.type == MessageType::release && over.call == kOne && over.cause == 16);
         hubs.await_idle();
     }
 }
 
-// The groups go to the next process by way of the ledger, and with them the calls that stand.
-void a_standing_call_survives_an_upgrade(const char* path) {
+// The successor process takes the groups and their answered calls from the ledger.
+void answered_call_survives_an_upgrade(const char* path) {
     for (const int upgraded : {a, b}) {
         Hubs hubs(path, 4, true);
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
         Peer caller = Peer::connect(hubs.at(a).callers);
-        caller.send(Hubs::call_to(one, 2));
-        CHECK(lines_b.receive().call == one);
-        lines_b.send(answer(one));
+        caller.send(Hubs::call_to(kOne, 2));
+        CHECK(lines_b.receive().call == kOne);
+        lines_b.send(answer(kOne));
         CHECK(caller.receive().type == MessageType::answer);
-        const int desk = Listener().port();
-        auto next = hubs.successor(upgraded, desk);
-        Peer lines_next = hubs.lines(upgraded);
-        while (!succeeds(desk, "GET /ready")) usleep(5000);
-        hubs.at(upgraded).operators = desk;
+        const int operators_port = Listener().port();
+        auto successor = hubs.successor(upgraded, operators_port);
+        Peer successor_lines = hubs.lines(upgraded);
+        while (!succeeds(operators_port, "GET /ready")) usleep(5000);
+        hubs.at(upgraded).operators = operators_port;
         hubs.await_link();
         hubs.at(upgraded).program->signal(SIGTERM);
         CHECK(hubs.at(upgraded).program->exit_code() == 0);
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
-        (upgraded == b ? lines_next : lines_b).send(release(one, 16));
+        (upgraded == b ? successor_lines : lines_b).send(release(kOne, 16));
         const Received over = caller.receive();
-        CHECK(over.type == MessageType::release && over.call == one && over.cause == 16);
+        CHECK(over.type == MessageType::release && over.call == kOne && over.cause == 16);
         hubs.await_idle();
-        caller.send(Hubs::call_to(two, 2));
-        CHECK((upgraded == b ? lines_next : lines_b).receive().call == two);
+        caller.send(Hubs::call_to(kTwo, 2));
+        CHECK((upgraded == b ? successor_lines : lines_b).receive().call == kTwo);
     }
 }
 
-void without_a_ledger_a_crash_frees_the_circuits(const char* path) {
+void crash_without_ledger_frees_circuits(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.send(Hubs::call_to(one, 2, "live-board"));
-    CHECK(lines_b.receive().call == one);
-    lines_b.send(answer(one));
+    caller.send(Hubs::call_to(kOne, 2, "live-board"));
+    CHECK(lines_b.receive().call == kOne);
+    lines_b.send(answer(kOne));
     CHECK(caller.receive().type == MessageType::answer);
     hubs.crash(b);
     const Received cut = caller.receive();
-    CHECK(cut.type == MessageType::release && cut.call == one && cut.cause == 41);
+    CHECK(cut.type == MessageType::release && cut.call == kOne && cut.cause == 41);
     Peer lines_again = hubs.lines(b);
     hubs.await_link();
     hubs.await_idle();
-    caller.send(Hubs::call_to(two, 2));
-    CHECK(lines_again.receive().call == two);
+    caller.send(Hubs::call_to(kTwo, 2));
+    CHECK(lines_again.receive().call == kTwo);
 }
 
-// A ledger that is torn or of another hub is named, set aside and not believed.
-void a_bad_ledger_is_set_aside(const char* path) {
+// A ledger that is damaged or belongs to another hub is logged, set aside and not used.
+void invalid_ledger_is_set_aside(const char* path) {
     Hubs hubs(path, 4, true);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     const std::string ledger = hubs.at(a).folder + "/trunk-10.ledger";
     hubs.at(a).program.reset();
     for (const char* end : {"-wal", "-shm"})
-        std::filesystem::remove(ledger + end);  // it holds all of the file
+        std::filesystem::remove(ledger + end);  // SQLite would restore the contents from these
     std::ofstream(ledger, std::ios::binary | std::ios::trunc) << std::string(5000, 'x');
     hubs.start(a);
     hubs.at(a).program->await_log("set aside as " + ledger + ".set-aside-1");
@@ -137,62 +138,63 @@
     hubs.await_link();
 }
 
-// Whoever connects to the trunk address with something else closes only its own connection.
-void strangers_harm_nothing(const char* path) {
+// Malformed or unexpected input on the trunk address closes that connection alone.
+void invalid_trunk_connections_are_closed(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.send(Hubs::call_to(one, 2));
-    CHECK(lines_b.receive().call == one);
-    const auto refused = [&](const std::string& bytes) {
-        Peer stranger = Peer::connect(hubs.at(b).trunk);
-        stranger.send(bytes);
-        stranger.read_all();  // until it is closed
+    caller.send(Hubs::call_to(kOne, 2));
+    CHECK(lines_b.receive().call == kOne);
+    const auto expect_closed = [&](const std::string& bytes) {
+        Peer peer = Peer::connect(hubs.at(b).trunk);
+        peer.send(bytes);
+        peer.read_all();  // until it is closed
     };
-    refused(std::string(64, '\xff'));
-    refused(std::string("\0\0\0\0", 4));
+    expect_closed(std::string(64, '\xff'));
+    expect_closed(std::string("\0\0\0\0", 4));
     using namespace nettlestall::trunk;
-    refused(write(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .life = 1}));
-    refused(write(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .life = 1}));
+    expect_closed(write(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .life = 1}));
+    expect_closed(write(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .life = 1}));
     hubs.at(b).program->await_log("group 8 is not known here");
     hubs.at(b).program->await_log("number of circuits is 5 there and 4 here");
     std::vector<Peer> silent;
     for (int i = 0; i < 20; ++i) silent.push_back(Peer::connect(hubs.at(b).trunk));
-    lines_b.send(answer(one));
+    lines_b.send(answer(kOne));
     CHECK(caller.receive().type == MessageType::answer && hubs.busy(b) == 1);
 }
 
-void operators_see_block_and_audit(const char* path) {
+void operators_list_block_and_audit(const char* path) {
     Hubs hubs(path, 4, true);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
-    const auto order = [&](const std::string& words, int expected) {
+    const auto run_command = [&](const std::string& arguments, int expected) {
         const std::string line = std::string(path) + " circuits --at " + own_address() + ':' +
-                                 std::to_string(hubs.at(a).operators) + ' ' + words + " >/dev/null 2>&1";
+                                 std::to_string(hubs.at(a).operators) + ' ' + arguments + " >/dev/null 2>&1";
         const int status = std::system(line.c_str());
         CHECK(WIFEXITED(status) && WEXITSTATUS(status) == expected);
     };
-    order("list", 0), order("list --group 7 --all", 0), order("audit --group 7", 0);
-    order("list --group 8", 3), order("block --group 7 --circuits 9", 3), order("block --group 7", 2);
-    order("block --group 7 --circuits 1-2,4", 0);
+    run_command("list", 0), run_command("list --group 7 --all", 0), run_command("audit --group 7", 0);
+    run_command("list --group 8", 3), run_command("block --group 7 --circuits 9", 3),
+        run_command("block --group 7", 2);
+    run_command("block --group 7 --circuits 1-2,4", 0);
     while (hubs.circuits(b).find("1 idle - - - - no soft") == std::string::npos) usleep(5000);
     CHECK(hubs.circuits(a, "").find("7 hub-2 20 up 4 1 0 3 0 0") != std::string::npos);
-    // A wide call finds no circuits, and blocking outlives the process.
+    // A call that needs three circuits is rejected, and circuits stay blocked over a crash.
     Peer caller = Peer::connect(hubs.at(a).callers);
-    caller.send(Hubs::call_to(one, 2, "live-board", 300));
+    caller.send(Hubs::call_to(kOne, 2, "live-board", 300));
     CHECK(caller.receive().type == MessageType::release);
     hubs.crash(a);
     Peer lines_again = hubs.lines(a);
     hubs.await_link();
     CHECK(hubs.circuits(a, "").find("7 hub-2 20 up 4 1 0 3 0 0") != std::string::npos);
-    order("unblock --group 7 --circuits all", 0);
+    run_command("unblock --group 7 --circuits all", 0);
     CHECK(hubs.circuits(a, "").find("7 hub-2 20 up 4 4 0 0 0 0") != std::string::npos);
     hubs.at(a).program.reset();
-    order("list", 4);
+    run_command("list", 4);
 }
 
-void a_reload_takes_the_file_whole_or_not_at_all(const char* path) {
+void reload_applies_whole_file_or_nothing(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
@@ -213,14 +215,14 @@
 
 }  // namespace
 
-int main(int, char** words) {
-    const char* path = words[1];
-    a_call_goes_over_the_group_and_back(path);
-    a_standing_call_survives_a_crash(path);
-    a_standing_call_survives_an_upgrade(path);
-    without_a_ledger_a_crash_frees_the_circuits(path);
-    a_bad_ledger_is_set_aside(path);
-    strangers_harm_nothing(path);
-    operators_see_block_and_audit(path);
-    a_reload_takes_the_file_whole_or_not_at_all(path);
+int main(int, char** arguments) {
+    const char* path = arguments[1];
+    calls_pass_both_ways_over_the_group(path);
+    answered_call_survives_a_crash(path);
+    answered_call_survives_an_upgrade(path);
+    crash_without_ledger_frees_circuits(path);
+    invalid_ledger_is_set_aside(path);
+    invalid_trunk_connections_are_closed(path);
+    operators_list_block_and_audit(path);
+    reload_applies_whole_file_or_nothing(path);
 }
