--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -157,18 +157,18 @@
     group.exchange = get_text(node, "exchange");
     group.number = get_number<int>(node, "number");
     group.zone = get_text(node, "zone");
-    group.rules.ends = {own, get_number<int>(node, "far-point")};
+    group.rules.point_codes = {own, get_number<int>(node, "far-point")};
     group.rules.circuits = get_number<int>(node, "circuits");
     for_each_child(node, [&group](const xmlNode* part, const std::string& name) {
         if (name == "audit") {
-            group.rules.audit.on = get_bool(part, "on");
-            group.rules.audit.every = get_duration(part, "every-s");
-            group.rules.audit.patience = get_duration(part, "patience-s");
+            group.rules.audit.enabled = get_bool(part, "on");
+            group.rules.audit.interval = get_duration(part, "every-s");
+            group.rules.audit.response_timeout = get_duration(part, "patience-s");
             group.rules.audit.confirmations = get_number<int>(part, "confirmations");
         } else {
             group.rules.release_guard = get_duration(part, "release-guard-s");
-            group.rules.reset_again = get_duration(part, "reset-again-s");
-            group.rules.hold = get_duration(part, "hold-s");
+            group.rules.reset_repeat_interval = get_duration(part, "reset-again-s");
+            group.rules.link_down_hold = get_duration(part, "hold-s");
         }
     });
     return group;
@@ -189,17 +189,17 @@
         if (!is_unique(groups_, std::to_string(group.id), node))
             add_duplicate(node, "id", "is another group's");
         const bool dials = !get_text(node, "dial").empty();
-        if (group.rules.ends.own == group.rules.ends.far)
+        if (group.rules.point_codes.own == group.rules.point_codes.far)
             add_duplicate(node, "far-point", "is this hub's own point");
-        if (group.rules.ends.own < group.rules.ends.far && !dials)
+        if (group.rules.point_codes.own < group.rules.point_codes.far && !dials)
             errors_.add(node, "attribute 'dial' is expected: the hub with the lower point code dials");
-        if (group.rules.ends.own > group.rules.ends.far && dials)
+        if (group.rules.point_codes.own > group.rules.point_codes.far && dials)
             errors_.add(node,
                         "attribute 'dial' is not expected: the far hub has the lower point code and dials");
-        if (group.rules.ends.own > group.rules.ends.far && get_text(trunk, "listen").empty())
+        if (group.rules.point_codes.own > group.rules.point_codes.far && get_text(trunk, "listen").empty())
             errors_.add(trunk, "attribute 'listen' is expected: the far hub of group " +
                                    std::to_string(group.id) + " dials this one");
-        if (group.rules.audit.patience > group.rules.audit.every)
+        if (group.rules.audit.response_timeout > group.rules.audit.interval)
             errors_.add(node, "<audit>: 'patience-s' of at most 'every-s' is expected");
     }
 
@@ -285,7 +285,7 @@
     const auto same_group = [](const TrunkSettings::Group& x, const TrunkSettings::Group& y) {
         return x.settings.id == y.settings.id && x.settings.exchange == y.settings.exchange &&
                x.settings.number == y.settings.number &&
-               x.settings.rules.ends.far == y.settings.rules.ends.far &&
+               x.settings.rules.point_codes.far == y.settings.rules.point_codes.far &&
                x.settings.rules.circuits == y.settings.rules.circuits && x.dial_address == y.dial_address;
     };
     if (!std::equal(a.groups.begin(), a.groups.end(), b.groups.begin(), b.groups.end(), same_group))
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -48,11 +48,11 @@
     CHECK(file.trunk->ledger_folder == "/var/l" && file.trunk->lines.size() == 1 &&
           file.trunk->lines[0].entry.lines_only);
     const auto& group = file.trunk->groups.at(0);
-    CHECK(group.dial_address == "127.0.0.1:7002" && group.settings.rules.ends.own == 10 &&
-          group.settings.rules.ends.far == 20);
-    CHECK(group.settings.rules.hold == 12500ms && group.settings.rules.release_guard == 4s &&
-          !group.settings.rules.audit.on);
-    CHECK(group.settings.rules.audit.every == 9s && group.settings.rules.audit.confirmations == 2);
+    CHECK(group.dial_address == "127.0.0.1:7002" && group.settings.rules.point_codes.own == 10 &&
+          group.settings.rules.point_codes.far == 20);
+    CHECK(group.settings.rules.link_down_hold == 12500ms && group.settings.rules.release_guard == 4s &&
+          !group.settings.rules.audit.enabled);
+    CHECK(group.settings.rules.audit.interval == 9s && group.settings.rules.audit.confirmations == 2);
 }
 
 void errors_name_line_and_element() {
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -154,8 +154,8 @@
     expect_closed(std::string(64, '\xff'));
     expect_closed(std::string("\0\0\0\0", 4));
     using namespace nettlestall::trunk;
-    expect_closed(write(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .life = 1}));
-    expect_closed(write(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .life = 1}));
+    expect_closed(encode(Hello{.point = 10, .far_point = 20, .group = 7, .circuits = 5, .incarnation = 1}));
+    expect_closed(encode(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .incarnation = 1}));
     hubs.at(b).program->await_log("group 8 is not known here");
     hubs.at(b).program->await_log("number of circuits is 5 there and 4 here");
     std::vector<Peer> silent;
