--- a/src/lab/glare.cpp
+++ b/src/lab/glare.cpp
@@ -13,114 +13,121 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr Duration kHolding = seconds(20), kPatience = seconds(5);
-constexpr Duration kLook = milliseconds(500);
-constexpr Duration kQuiet = minutes(10);  // without new calls and faults, at the end
-constexpr Duration kSample = minutes(10);
-
-struct Pair {  // a group between two hubs
-    std::uint32_t id;
+constexpr Duration kMeanHoldingTime = seconds(20), kCallerTimeLimit = seconds(5);
+constexpr Duration kObservationInterval = milliseconds(500);  // of the utilisation and of lost calls
+constexpr Duration kQuietPeriod = minutes(10);                // without new calls and faults, at the end
+constexpr Duration kSampleInterval = minutes(10);
+
+// Two hubs that a circuit group joins.
+struct HubPair {
+    std::uint32_t id;  // of the group
     int a, b;
-    std::unique_ptr<Wire> wire;
+    std::unique_ptr<Link> link;
 };
 
-struct Damage {  // what one end has forgotten and the other may hold for ever
-    const Pair* pair;
+// A call whose state one end has lost, while the other end may hold its circuits for ever.
+struct LostCall {
+    const HubPair* pair;
     trunk::CallRef ref;
     Instant since;
 };
 
-double seconds_of(Duration time) {
+double to_seconds(Duration time) {
     return static_cast<double>(time.count()) / 1e6;
 }
 
-double share_of(std::vector<double>& sorted, double share) {
+// The percentile of sorted values; `share` is from 0 to 1. 0 if there are none.
+double percentile(std::vector<double>& sorted, double share) {
     if (sorted.empty()) return 0.0;
     const auto at = static_cast<std::size_t>(std::ceil(share * static_cast<double>(sorted.size())));
     return sorted[std::min(sorted.size() - 1, at == 0 ? 0 : at - 1)];
 }
 
+// One run: the hubs, the links between them, the traffic and the faults.
 class Experiment {
    public:
     explicit Experiment(const GlareSettings& settings)
         : settings_(settings),
-          chance_(settings.seed),
-          faults_(settings.seed ^ 0x9e3779b97f4a7c15),
-          wires_(settings.seed ^ 0xc2b2ae3d27d4eb4f),
-          people_(settings.seed ^ 0x165667b19e3779f9) {
+          traffic_random_(settings.seed),
+          fault_random_(settings.seed ^ 0x9e3779b97f4a7c15),
+          link_random_(settings.seed ^ 0xc2b2ae3d27d4eb4f),
+          party_random_(settings.seed ^ 0x165667b19e3779f9) {
         std::vector<HubSettings> hubs(static_cast<std::size_t>(settings.hubs));
         for (int i = 0; i < settings.hubs; ++i) {
             hubs[index(i)].number = i;
-            hubs[index(i)].hubs = settings.hubs;
-            hubs[index(i)].holding = kHolding;
-            hubs[index(i)].patience = kPatience;
+            hubs[index(i)].hub_count = settings.hubs;
+            hubs[index(i)].mean_holding_time = kMeanHoldingTime;
+            hubs[index(i)].caller_time_limit = kCallerTimeLimit;
             hubs[index(i)].wide_share = settings.wide_share;
         }
         std::uint32_t id = 0;
         for (int a = 0; a < settings.hubs; ++a)
             for (int b = a + 1; b < settings.hubs; ++b) {
-                pairs_.push_back({++id, a, b, std::make_unique<Wire>(simulation_, wires_)});
-                hubs[index(a)].groups.push_back(group(id, a, b));
-                hubs[index(b)].groups.push_back(group(id, b, a));
+                pairs_.push_back({++id, a, b, std::make_unique<Link>(simulation_, link_random_)});
+                hubs[index(a)].groups.push_back(make_group_settings(id, a, b));
+                hubs[index(b)].groups.push_back(make_group_settings(id, b, a));
             }
         for (HubSettings& hub : hubs)
-            hubs_.push_back(std::make_unique<Hub>(simulation_, people_, truth_, std::move(hub)));
-        for (Pair& pair : pairs_) {
-            at(pair.a).connect(pair.id, *pair.wire);
-            at(pair.b).connect(pair.id, *pair.wire);
+            hubs_.push_back(std::make_unique<Hub>(simulation_, party_random_, truth_, std::move(hub)));
+        for (HubPair& pair : pairs_) {
+            hub_at(pair.a).attach_link(pair.id, *pair.link);
+            hub_at(pair.b).attach_link(pair.id, *pair.link);
         }
         for (const auto& hub : hubs_) {
-            hub->on_line_end([this](int to, const CallId& call) { at(to).line_hangs_up(call); });
+            hub->on_far_line_release(
+                [this](int to, const CallId& call) { hub_at(to).release_by_line(call); });
             hub->start(settings_.ledgers);
         }
-        for (Pair& pair : pairs_) pair.wire->join(at(pair.a).end(pair.id), at(pair.b).end(pair.id));
+        for (HubPair& pair : pairs_)
+            pair.link->attach(hub_at(pair.a).link_end(pair.id), hub_at(pair.b).link_end(pair.id));
     }
 
     GlareResult run() {
         const Instant begin = simulation_.now();
         end_ = begin + Duration(static_cast<std::int64_t>(settings_.hours * 3600e6));
         for (int hub = 0; hub < settings_.hubs; ++hub) place_calls(hub);
-        look();
-        sample(begin);
+        observe();
+        record_sample(begin);
         if (settings_.faults) start_faults();
         simulation_.run_until(end_);
-        simulation_.run_until(end_ + kQuiet);
-        for (const auto& hub : hubs_) add_counts(*hub);
+        simulation_.run_until(end_ + kQuietPeriod);
+        for (const auto& hub : hubs_) add_group_counts(*hub);
         result_.calls = truth_.offered;
-        result_.stood = truth_.stood;
-        result_.answers_double = truth_.answers_double;
+        result_.stood = truth_.answered;
+        result_.answers_double = truth_.double_answers;
         result_.live_calls_cut = truth_.live_cut_by_audit;
-        result_.cut_by_faults = truth_.cut;
+        result_.cut_by_faults = truth_.cut_calls;
         for (const auto& [id, call] : truth_.calls)
-            result_.answers_missing += call.caller == TrueCall::Caller::waits;
+            result_.answers_missing += call.caller == CallRecord::CallerState::waiting;
         result_.stuck_circuits = count_stuck();
         std::sort(times_to_free_.begin(), times_to_free_.end());
-        result_.time_to_free_p50_s = share_of(times_to_free_, 0.50);
-        result_.time_to_free_p99_s = share_of(times_to_free_, 0.99);
-        result_.utilisation = looks_ > 0 ? busy_ / looks_ : 0.0;
+        result_.time_to_free_p50_s = percentile(times_to_free_, 0.50);
+        result_.time_to_free_p99_s = percentile(times_to_free_, 0.99);
+        result_.utilisation = observations_ > 0 ? busy_share_sum_ / observations_ : 0.0;
         return result_;
     }
 
    private:
     static std::size_t index(int hub) { return static_cast<std::size_t>(hub); }
-    Hub& at(int hub) { return *hubs_[index(hub)]; }
-
-    trunk::GroupSettings group(std::uint32_t id, int own, int far) const {
-        trunk::GroupSettings g;
-        g.id = id;
-        g.exchange = "hub-" + std::to_string(far);
-        g.number = far;
-        g.rules.point_codes = {own + 1, far + 1};
-        g.rules.circuits = settings_.circuits;
-        g.rules.hunting = settings_.parity ? trunk::Hunting::own_half : trunk::Hunting::ascending;
-        g.rules.audit.enabled = settings_.audits;
-        return g;
+    Hub& hub_at(int hub) { return *hubs_[index(hub)]; }
+
+    // Settings of the group `id` at hub `own`, which leads to hub `far`.
+    trunk::GroupSettings make_group_settings(std::uint32_t id, int own, int far) const {
+        trunk::GroupSettings group;
+        group.id = id;
+        group.exchange = "hub-" + std::to_string(far);
+        group.number = far;
+        group.rules.point_codes = {own + 1, far + 1};
+        group.rules.circuits = settings_.circuits;
+        group.rules.hunting = settings_.parity ? trunk::Hunting::own_half : trunk::Hunting::ascending;
+        group.rules.audit.enabled = settings_.audits;
+        return group;
     }
 
-    bool over() const { return simulation_.now() >= end_; }
+    bool traffic_ended() const { return simulation_.now() >= end_; }
 
-    int other_hub(int hub) {
-        const int to = chance_.below(settings_.hubs - 1);
+    int pick_other_hub(int hub) {
+        const int to = traffic_random_.draw_below(settings_.hubs - 1);
         return to >= hub ? to + 1 : to;
     }
 
@@ -128,186 +135,197 @@
 
     void place_calls(int hub) {
         const double width = 1.0 + settings_.wide_share * 2.0;
-        const double per_group = settings_.load * settings_.circuits / width / seconds_of(kHolding);
+        const double per_group = settings_.load * settings_.circuits / width / to_seconds(kMeanHoldingTime);
         const double each_second = per_group / 2.0 * (settings_.hubs - 1);
-        simulation_.after(chance_.exponential(Duration(static_cast<std::int64_t>(1e6 / each_second))),
-                          [this, hub] {
-                              if (over()) return;
-                              at(hub).place_call(other_hub(hub), chance_.once_in(settings_.wide_share));
-                              place_calls(hub);
-                          });
+        simulation_.schedule_after(
+            traffic_random_.draw_exponential(Duration(static_cast<std::int64_t>(1e6 / each_second))),
+            [this, hub] {
+                if (traffic_ended()) return;
+                hub_at(hub).place_call(pick_other_hub(hub), traffic_random_.draw_bool(settings_.wide_share));
+                place_calls(hub);
+            });
     }
 
-    // Both ends of a group at one moment.
-    void seize_at_once() {
-        every(seconds(5), [this] {
-            const Pair& pair = any_pair();
-            for (int calls = 1 + faults_.below(3); calls > 0; --calls) {
-                const bool wide = faults_.once_in(settings_.wide_share);
-                at(pair.a).place_call(pair.b, wide);
-                at(pair.b).place_call(pair.a, wide);
+    // Lets callers at both ends of a group call at the same time, every 5 s on average.
+    void start_dual_seizures() {
+        repeat(seconds(5), [this] {
+            const HubPair& pair = pick_pair();
+            for (int calls = 1 + fault_random_.draw_below(3); calls > 0; --calls) {
+                const bool wide = fault_random_.draw_bool(settings_.wide_share);
+                hub_at(pair.a).place_call(pair.b, wide);
+                hub_at(pair.b).place_call(pair.a, wide);
             }
         });
     }
 
     // ---- Faults
 
-    void every(Duration mean, std::function<void()> fault) {
-        simulation_.after(faults_.exponential(mean), [this, mean, fault = std::move(fault)] {
-            if (over()) return;
-            fault();
-            every(mean, fault);
-        });
+    // Runs `fault` at random times, on average every `mean`, until the traffic ends.
+    void repeat(Duration mean, std::function<void()> fault) {
+        simulation_.schedule_after(fault_random_.draw_exponential(mean),
+                                   [this, mean, fault = std::move(fault)] {
+                                       if (traffic_ended()) return;
+                                       fault();
+                                       repeat(mean, fault);
+                                   });
     }
 
-    Pair& any_pair() { return pairs_[index(faults_.below(static_cast<int>(pairs_.size())))]; }
-    int any_hub() { return faults_.below(settings_.hubs); }
+    HubPair& pick_pair() { return pairs_[index(fault_random_.draw_below(static_cast<int>(pairs_.size())))]; }
+    int pick_hub() { return fault_random_.draw_below(settings_.hubs); }
 
     void start_faults() {
-        seize_at_once();
-        every(seconds(70), [this] { ++result_.breaks, any_pair().wire->break_off(); });
-        every(seconds(150), [this] { ++result_.cuts, cut_region(); });
+        start_dual_seizures();
+        repeat(seconds(70), [this] { ++result_.breaks, pick_pair().link->break_connection(); });
+        repeat(seconds(150), [this] { ++result_.cuts, interrupt_region(); });
         if (settings_.crashes) start_crashes();
-        every(seconds(120), [this] {
+        repeat(seconds(120), [this] {
             ++result_.stalls;
-            at(any_hub()).stall(faults_.between(milliseconds(200), seconds(10)));
+            hub_at(pick_hub()).stall(fault_random_.draw_between(milliseconds(200), seconds(10)));
         });
-        every(seconds(200), [this] {
-            Wire& wire = *any_pair().wire;
-            wire.slow_down(faults_.between({}, milliseconds(400)));
-            simulation_.after(seconds(20), [&wire] { wire.slow_down({}); });
+        repeat(seconds(200), [this] {
+            Link& link = *pick_pair().link;
+            link.set_extra_delay(fault_random_.draw_between({}, milliseconds(400)));
+            simulation_.schedule_after(seconds(20), [&link] { link.set_extra_delay({}); });
         });
-        every(seconds(25), [this] { lose_memory(); });
+        repeat(seconds(25), [this] { lose_call_state(); });
     }
 
+    // Crashes of one hub, and of both ends of a group.
     void start_crashes() {
-        every(seconds(240), [this] { crash(any_hub()); });
-        every(seconds(900), [this] {  // both ends of a group, so that neither remembers for the other
-            const Pair& pair = any_pair();
+        repeat(seconds(240), [this] { crash(pick_hub()); });
+        repeat(seconds(900), [this] {  // both ends of a group, so that neither can restore the other's calls
+            const HubPair& pair = pick_pair();
             crash(pair.a), crash(pair.b);
         });
     }
 
-    // A region of some hubs loses the others for up to 19 s.
-    void cut_region() {
-        const Duration length = faults_.between(milliseconds(500), seconds(19));
-        const int first = any_hub();
-        for (Pair& pair : pairs_)
-            if ((pair.a <= first) != (pair.b <= first) || settings_.hubs == 2) pair.wire->cut(length);
+    // Interrupts all links between the hubs up to a random number and the others, for 0.5 to 19 s.
+    void interrupt_region() {
+        const Duration length = fault_random_.draw_between(milliseconds(500), seconds(19));
+        const int first = pick_hub();
+        for (HubPair& pair : pairs_)
+            if ((pair.a <= first) != (pair.b <= first) || settings_.hubs == 2) pair.link->interrupt(length);
     }
 
+    // Crashes the hub and starts it again after 0.2 to 6 s, with its ledger in 70 % of the cases if it has
+    // one.
     void crash(int hub) {
-        if (!at(hub).alive()) return;
+        if (!hub_at(hub).is_running()) return;
         ++result_.crashes;
-        add_counts(at(hub));
-        at(hub).crash();
-        const bool with_ledger = settings_.ledgers && faults_.once_in(0.7);
-        simulation_.after(faults_.between(milliseconds(200), seconds(6)),
-                          [this, hub, with_ledger] { at(hub).start(with_ledger); });
+        add_group_counts(hub_at(hub));
+        hub_at(hub).crash();
+        const bool with_ledger = settings_.ledgers && fault_random_.draw_bool(0.7);
+        simulation_.schedule_after(fault_random_.draw_between(milliseconds(200), seconds(6)),
+                                   [this, hub, with_ledger] { hub_at(hub).start(with_ledger); });
     }
 
-    // One end drops what it knows of a standing call: a release that is lost for good looks the same.
-    void lose_memory() {
-        const Pair& pair = any_pair();
-        const int hub = faults_.once_in(0.5) ? pair.a : pair.b;
-        if (!at(hub).alive()) return;
-        trunk::TrunkManager::Trunk& trunk = *at(hub).front()->find(pair.id);
+    // One end of a group loses the state of an answered call. A release that is lost for good has the same
+    // effect.
+    void lose_call_state() {
+        const HubPair& pair = pick_pair();
+        const int hub = fault_random_.draw_bool(0.5) ? pair.a : pair.b;
+        if (!hub_at(hub).is_running()) return;
+        trunk::TrunkManager::Trunk& trunk = *hub_at(hub).trunk_manager()->find(pair.id);
         std::vector<trunk::CallRef> standing;
         for (const auto& [ref, leg] : trunk.group().legs())
             if (leg.state == trunk::LegState::standing) standing.push_back(ref);
         if (standing.empty() || !trunk.group().in_service()) return;
-        const trunk::CallRef ref = standing[index(faults_.below(static_cast<int>(standing.size())))];
+        const trunk::CallRef ref =
+            standing[index(fault_random_.draw_below(static_cast<int>(standing.size())))];
         ++result_.memory_faults;
         truth_.calls[trunk.group().leg(ref)->call].damaged = true;
         trunk.inject_memory_loss(ref);
-        damages_.push_back({&pair, ref, simulation_.now()});
+        lost_calls_.push_back({&pair, ref, simulation_.now()});
     }
 
-    // ---- What is seen
+    // ---- Observation
 
-    bool held(int hub, std::uint32_t group, trunk::CallRef ref) {
-        return at(hub).alive() && at(hub).front()->find(group)->group().leg(ref);
+    bool is_held(int hub, std::uint32_t group, trunk::CallRef ref) {
+        return hub_at(hub).is_running() && hub_at(hub).trunk_manager()->find(group)->group().leg(ref);
     }
 
-    void look() {
-        std::erase_if(damages_, [this](const Damage& damage) {
-            if (held(damage.pair->a, damage.pair->id, damage.ref) ||
-                held(damage.pair->b, damage.pair->id, damage.ref))
+    // Notes which lost calls both ends have freed by now, and the utilisation.
+    void observe() {
+        std::erase_if(lost_calls_, [this](const LostCall& lost) {
+            if (is_held(lost.pair->a, lost.pair->id, lost.ref) ||
+                is_held(lost.pair->b, lost.pair->id, lost.ref))
                 return false;
-            times_to_free_.push_back(seconds_of(simulation_.now() - damage.since));
+            times_to_free_.push_back(to_seconds(simulation_.now() - lost.since));
             return true;
         });
-        if (!over()) {
-            busy_ += busy_share();
-            ++looks_;
+        if (!traffic_ended()) {
+            busy_share_sum_ += measure_busy_share();
+            ++observations_;
         }
-        if (simulation_.now() < end_ + kQuiet) simulation_.after(kLook, [this] { look(); });
+        if (simulation_.now() < end_ + kQuietPeriod)
+            simulation_.schedule_after(kObservationInterval, [this] { observe(); });
     }
 
-    // Standing calls that neither fault nor crash has robbed of an end, over all circuits.
-    double busy_share() {
+    // The share of all circuits that carry answered calls which no fault or crash has damaged.
+    double measure_busy_share() {
         double busy = 0, all = 0;
-        for (const Pair& pair : pairs_) {
+        for (const HubPair& pair : pairs_) {
             all += settings_.circuits;
-            if (!at(pair.a).alive()) continue;
-            for (const auto& [ref, leg] : at(pair.a).front()->find(pair.id)->group().legs())
-                if (leg.state == trunk::LegState::standing && truth_.calls[leg.call].live())
+            if (!hub_at(pair.a).is_running()) continue;
+            for (const auto& [ref, leg] : hub_at(pair.a).trunk_manager()->find(pair.id)->group().legs())
+                if (leg.state == trunk::LegState::standing && truth_.calls[leg.call].is_intact())
                     busy += static_cast<double>(leg.circuits.size());
         }
         return busy / all;
     }
 
-    // Circuits held at one end or both for a call that is over, or that has lost an end.
+    // The number of circuits that one end or both hold for a call that is over or damaged.
     std::uint64_t count_stuck() {
         std::uint64_t stuck = 0;
-        for (const Pair& pair : pairs_)
+        for (const HubPair& pair : pairs_)
             for (int n = 1; n <= settings_.circuits; ++n) {
                 bool busy = false;
                 for (const int hub : {pair.a, pair.b}) {
-                    if (!at(hub).alive()) continue;
-                    const trunk::Group& g = at(hub).front()->find(pair.id)->group();
-                    const trunk::Leg* leg = g.leg(g.circuits().at(n).call);
-                    busy |= !g.circuits().at(n).is_idle() && !(leg && truth_.calls[leg->call].live());
+                    if (!hub_at(hub).is_running()) continue;
+                    const trunk::Group& group = hub_at(hub).trunk_manager()->find(pair.id)->group();
+                    const trunk::Leg* leg = group.leg(group.circuits().at(n).call);
+                    busy |=
+                        !group.circuits().at(n).is_idle() && !(leg && truth_.calls[leg->call].is_intact());
                 }
                 stuck += busy;
             }
         return stuck;
     }
 
-    void sample(Instant begin) {
+    void record_sample(Instant begin) {
         const double all = static_cast<double>(pairs_.size()) * settings_.circuits;
-        result_.samples.push_back({seconds_of(simulation_.now() - begin) / 3600.0,
-                                   static_cast<double>(count_stuck()) / all, busy_share()});
-        simulation_.after(kSample, [this, begin] {
-            if (!over()) sample(begin);
+        result_.samples.push_back({to_seconds(simulation_.now() - begin) / 3600.0,
+                                   static_cast<double>(count_stuck()) / all, measure_busy_share()});
+        simulation_.schedule_after(kSampleInterval, [this, begin] {
+            if (!traffic_ended()) record_sample(begin);
         });
     }
 
-    void add_counts(Hub& hub) {
-        if (!hub.alive()) return;
-        for (const trunk::TrunkManager::Trunk* trunk : hub.front()->trunks()) {
-            const trunk::GroupCounts& c = trunk->group().counts();
-            result_.seizures += c.seizures;
-            result_.glares += c.glares_lost;
-            result_.audit_freed += c.audit_freed;
-            result_.recovered += c.recovered;
-            result_.guards += c.release_timeouts;
+    void add_group_counts(Hub& hub) {
+        if (!hub.is_running()) return;
+        for (const trunk::TrunkManager::Trunk* trunk : hub.trunk_manager()->trunks()) {
+            const trunk::GroupCounts& counts = trunk->group().counts();
+            result_.seizures += counts.seizures;
+            result_.glares += counts.glares_lost;
+            result_.audit_freed += counts.audit_freed;
+            result_.recovered += counts.recovered;
+            result_.guards += counts.release_timeouts;
         }
     }
 
     GlareSettings settings_;
     Simulation simulation_;
-    // Of arrivals, faults, delays, and callers and lines, each by itself: the same traffic and the same
-    // faults meet each baseline.
-    Chance chance_, faults_, wires_, people_;
-    Truth truth_;
-    std::vector<Pair> pairs_;
+    // Separate random numbers for arrivals, faults, delays, and the behaviour of callers and lines, so that
+    // the baselines get the same traffic and the same faults.
+    Random traffic_random_, fault_random_, link_random_, party_random_;
+    GroundTruth truth_;
+    std::vector<HubPair> pairs_;
     std::vector<std::unique_ptr<Hub>> hubs_;
     Instant end_{};
     GlareResult result_;
-    std::vector<Damage> damages_;
+    std::vector<LostCall> lost_calls_;
     std::vector<double> times_to_free_;
-    double busy_ = 0, looks_ = 0;
+    double busy_share_sum_ = 0, observations_ = 0;
 };
 
 }  // namespace
--- a/src/lab/glare.hpp
+++ b/src/lab/glare.hpp
@@ -1,4 +1,6 @@
-// The experiment `glare`: hubs joined by circuit groups over hours of faults, all from one seed.
+// The experiment `glare`: hubs that are joined each with each by circuit groups, hours of simulated traffic
+// with faults, and ten minutes without either. It counts calls, dual seizures, and circuits that stay busy.
+// One seed gives the same result every time.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +11,36 @@
 
 namespace nettlestall::lab {
 
+// The options of the command line.
 struct GlareSettings {
     std::uint64_t seed = 1;
     double hours = 1.0;
     int hubs = 2;
     int circuits = 30;  // of each group
-    double load = 0.7;  // of the circuits, if every call stood
+    double load = 0.7;  // offered traffic as a share of the circuits, if every call were answered
+    // Hunting by parity, audits, ledgers, faults at all, crashes among them.
     bool parity = true, audits = true, ledgers = true, faults = true, crashes = true;
-    double wide_share = 0.1;
+    double wide_share = 0.1;  // share of calls that take three circuits
 };
 
+// Counters and times, which the JSON object shows under the same names.
 struct GlareResult {
     std::uint64_t calls = 0, stood = 0, answers_missing = 0, answers_double = 0;
     std::uint64_t seizures = 0, glares = 0, stuck_circuits = 0, live_calls_cut = 0, audit_freed = 0;
     std::uint64_t cut_by_faults = 0, recovered = 0, guards = 0, memory_faults = 0, breaks = 0, cuts = 0,
                   crashes = 0, stalls = 0;
     double time_to_free_p50_s = 0, time_to_free_p99_s = 0, utilisation = 0;
-    // Every ten minutes: circuits that are stuck at one end at least, and busy ones, in shares of all.
+    // Taken every ten minutes of simulated time: the shares of all circuits that are stuck at one end at
+    // least, and that carry intact calls.
     struct Sample {
         double hours, stuck, busy;
     };
     std::vector<Sample> samples;
 };
 
+// Runs the experiment on the virtual clock.
 GlareResult run_glare(const GlareSettings& settings);
+// The settings and the result as one JSON object, without a line end.
 std::string to_json(const GlareSettings& settings, const GlareResult& result);
 
 }  // namespace nettlestall::lab
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -10,26 +10,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kBeat = seconds(1), kSilence = seconds(3);
-constexpr Duration kAnswerLeast = milliseconds(40), kAnswerMost = milliseconds(250);
-constexpr int kLineCircuits = 1000;
-const ExchangeId kLines = "lines";
+constexpr Duration kHeartbeatInterval = seconds(1), kSilenceTimeout = seconds(3);
+constexpr Duration kAnswerDelayMin = milliseconds(40), kAnswerDelayMax = milliseconds(250);
+constexpr int kLineCount = 1000;  // more than ever are in use
+const ExchangeId kLinesExchange = "lines";
 
-// Wakes up once at the earliest moment that was asked for.
-class Alarm {
+// Expires once, at the earliest time that was set.
+class Timer {
    public:
-    explicit Alarm(Simulation& simulation, std::function<void(std::function<void()>)> run)
+    explicit Timer(Simulation& simulation, std::function<void(std::function<void()>)> run)
         : simulation_(simulation), run_(std::move(run)) {}
-    void on_ring(std::function<void()> ring) { ring_ = std::move(ring); }
+    void on_expiry(std::function<void()> expire) { on_expiry_ = std::move(expire); }
     void set(Instant at) {
-        if (at >= armed_) return;
-        armed_ = at;
-        simulation_.at(at, [this, at, alive = std::weak_ptr(alive_)] {
-            if (alive.expired() || at != armed_) return;
-            run_([this, alive] {
-                if (alive.expired()) return;
-                armed_ = Instant::max();
-                ring_();
+        if (at >= expiry_time_) return;
+        expiry_time_ = at;
+        simulation_.schedule_at(at, [this, at, lifetime = std::weak_ptr(lifetime_)] {
+            if (lifetime.expired() || at != expiry_time_) return;
+            run_([this, lifetime] {
+                if (lifetime.expired()) return;
+                expiry_time_ = Instant::max();
+                on_expiry_();
             });
         });
     }
@@ -37,14 +37,15 @@
    private:
     Simulation& simulation_;
     std::function<void(std::function<void()>)> run_;
-    std::function<void()> ring_;
-    Instant armed_ = Instant::max();
-    std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+    std::function<void()> on_expiry_;
+    Instant expiry_time_ = Instant::max();
+    std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
-Settings module_settings(const HubSettings& hub) {
+// Settings of the decision module.
+Settings decision_settings(const HubSettings& hub) {
     Settings s;
-    s.controls = hub.hubs;
+    s.controls = hub.hub_count;
     s.max_attempts = 5;
     s.release_wait = milliseconds(300);
     s.drain_grace = milliseconds(500);
@@ -52,10 +53,10 @@
         ClassSettings c;
         c.name = wide ? "live-board" : "move";
         c.worth = wide ? 3.0 : 1.0;
-        c.width = wide ? hub.wide : 1;
+        c.width = wide ? hub.wide_width : 1;
         c.aim = seconds(2);
-        c.deadline = hub.patience;
-        c.holding_time = hub.holding;
+        c.deadline = hub.caller_time_limit;
+        c.holding_time = hub.mean_holding_time;
         s.classes.push_back(c);
     }
     return s;
@@ -63,309 +64,328 @@
 
 }  // namespace
 
-// ---- What lives beside the process -------------------------------------------------------------------
+// ---- Parts that outlive the process ------------------------------------------------------------------
 
-class Hub::End final : public WireEnd {
+// This hub's end of a link: connects it with the trunk signalling and monitors heartbeats.
+class Hub::GroupEnd final : public LinkEnd {
    public:
-    End(Hub& hub, std::uint32_t group) : hub_(hub), group_(group) {}
+    GroupEnd(Hub& hub, std::uint32_t group) : hub_(hub), group_(group) {}
 
-    Wire* wire = nullptr;
+    Link* link = nullptr;
 
-    bool reachable() const override { return hub_.alive() && !hub_.stalled(); }
-    void connected() override {
-        up_ = true;
-        heard_ = hub_.simulation_.now();
-        if (auto* trunk = hub_.front()->find(group_)) trunk->connected();
-        watch(++watch_);
+    bool can_connect() const override { return hub_.is_running() && !hub_.is_stalled(); }
+    void on_connected() override {
+        connected_ = true;
+        last_received_ = hub_.simulation_.now();
+        if (auto* trunk = hub_.trunk_manager()->find(group_)) trunk->connected();
+        watch_heartbeats(++connection_);
     }
-    void arrived(std::string bytes) override {
-        hub_.do_awake([this, bytes = std::move(bytes), watch = watch_] {
-            if (!up_ || watch != watch_) return;
-            heard_ = hub_.simulation_.now();
-            if (auto* trunk = hub_.front()->find(group_); !trunk->receive_bytes(bytes)) lose();
+    void on_received(std::string bytes) override {
+        hub_.run_when_responsive([this, bytes = std::move(bytes), connection = connection_] {
+            if (!connected_ || connection != connection_) return;
+            last_received_ = hub_.simulation_.now();
+            if (auto* trunk = hub_.trunk_manager()->find(group_); !trunk->receive_bytes(bytes)) close();
         });
     }
-    void broken() override {
-        hub_.do_awake([this, watch = watch_] {
-            if (up_ && watch == watch_) lose();
+    void on_closed() override {
+        hub_.run_when_responsive([this, connection = connection_] {
+            if (connected_ && connection == connection_) close();
         });
     }
     void flush(trunk::TrunkManager::Trunk& trunk) {
-        if (wire) wire->write(*this, trunk.take_output());
+        if (link) link->send(*this, trunk.take_output());
     }
-    void gone() { up_ = false; }  // the process has crashed
+    void process_gone() { connected_ = false; }  // the process has crashed
 
    private:
-    void lose() {
-        up_ = false;
-        wire->hang_up(*this);
-        hub_.front()->find(group_)->disconnected();
+    void close() {
+        connected_ = false;
+        link->close(*this);
+        hub_.trunk_manager()->find(group_)->disconnected();
     }
-    void watch(std::uint64_t which) {
-        hub_.simulation_.after(kBeat, [this, which] {
-            hub_.do_awake([this, which] {
-                if (!up_ || which != watch_) return;
-                if (hub_.simulation_.now() - heard_ >= kSilence) return lose();
-                hub_.front()->find(group_)->send_heartbeat();
-                watch(which);
+    void watch_heartbeats(std::uint64_t connection) {
+        hub_.simulation_.schedule_after(kHeartbeatInterval, [this, connection] {
+            hub_.run_when_responsive([this, connection] {
+                if (!connected_ || connection != connection_) return;
+                if (hub_.simulation_.now() - last_received_ >= kSilenceTimeout) return close();
+                hub_.trunk_manager()->find(group_)->send_heartbeat();
+                watch_heartbeats(connection);
             });
         });
     }
 
     Hub& hub_;
     std::uint32_t group_;
-    bool up_ = false;
-    Instant heard_{};
-    std::uint64_t watch_ = 0;
+    bool connected_ = false;
+    Instant last_received_{};
+    std::uint64_t connection_ = 0;
 };
 
-class Hub::Callers final : public CallerLink {
+// The callers' connection: passes answers and releases on to the hub.
+class Hub::CallerStub final : public CallerLink {
    public:
-    explicit Callers(Hub& hub) : hub_(hub) {}
-    void answer(const CallId& call, Description) override { hub_.heard_answer(call); }
-    void release(const CallId& call, ReleaseReason ending) override { hub_.heard_release(call, ending); }
+    explicit CallerStub(Hub& hub) : hub_(hub) {}
+    void answer(const CallId& call, Description) override { hub_.handle_answer(call); }
+    void release(const CallId& call, ReleaseReason ending) override { hub_.handle_release(call, ending); }
     std::string_view origin() const override { return "callers"; }
 
    private:
     Hub& hub_;
 };
 
-// The lines of the hub: every number answers, is busy, fails or stays silent as chance has it.
-class Hub::Lines final : public Switches {
+// The subscriber lines of the hub: each call is answered, rejected, fails or gets no answer, at random.
+class Hub::LineStub final : public Switches {
    public:
-    explicit Lines(Hub& hub) : hub_(hub) {}
-    void set_up(const ExchangeId&, const OutgoingSetUp& forward) override { hub_.line_set_up(forward.call); }
+    explicit LineStub(Hub& hub) : hub_(hub) {}
+    void set_up(const ExchangeId&, const OutgoingSetUp& forward) override { hub_.set_up_line(forward.call); }
     void cancel(const ExchangeId&, const CallId& call) override { hang_up(call); }
     void release(const ExchangeId&, const CallId& call) override { hang_up(call); }
 
    private:
     void hang_up(const CallId& call) {
-        hub_.truth_.calls[call].line_stands = false;
-        hub_.simulation_.after({}, [&hub = hub_] { hub.do_awake([&hub] { hub.lines_tell_room(); }); });
+        hub_.truth_.calls[call].line_connected = false;
+        hub_.simulation_.schedule_after(
+            {}, [&hub = hub_] { hub.run_when_responsive([&hub] { hub.report_free_lines(); }); });
     }
     Hub& hub_;
 };
 
+// The state that a crash destroys.
 struct Hub::Process {
     explicit Process(Hub& hub)
         : lines(hub),
           routes(lines),
-          gatekeeper(module_settings(hub.settings_), hub.life_, [&hub] { return hub.simulation_.now(); },
-                     routes, counters, {}),
-          front(
+          gatekeeper(decision_settings(hub.settings_), hub.incarnation_,
+                     [&hub] { return hub.simulation_.now(); }, routes, counters, {}),
+          trunk_manager(
               hub.settings_.number, [&hub] { return hub.simulation_.now(); }, gatekeeper, gatekeeper,
               gatekeeper),
           callers(hub),
-          calls_alarm(hub.simulation_, [&hub](std::function<void()> work) { hub.do_awake(std::move(work)); }),
-          trunk_alarm(hub.simulation_,
-                      [&hub](std::function<void()> work) { hub.do_awake(std::move(work)); }) {
-        calls_alarm.on_ring([this] { gatekeeper.run_timers(); });
-        trunk_alarm.on_ring([this] { front.run_timers(); });
-        gatekeeper.set_timer_handler([this](Instant at) { calls_alarm.set(at); });
-        front.on_schedule([this](Instant at) { trunk_alarm.set(at); });
+          call_timer(hub.simulation_,
+                     [&hub](std::function<void()> work) { hub.run_when_responsive(std::move(work)); }),
+          trunk_timer(hub.simulation_,
+                      [&hub](std::function<void()> work) { hub.run_when_responsive(std::move(work)); }) {
+        call_timer.on_expiry([this] { gatekeeper.run_timers(); });
+        trunk_timer.on_expiry([this] { trunk_manager.run_timers(); });
+        gatekeeper.set_timer_handler([this](Instant at) { call_timer.set(at); });
+        trunk_manager.on_schedule([this](Instant at) { trunk_timer.set(at); });
     }
 
     Counters counters;
-    Lines lines;
+    LineStub lines;
     calls::Routes routes;
     calls::Gatekeeper gatekeeper;
-    trunk::TrunkManager front;
-    Callers callers;
-    Alarm calls_alarm, trunk_alarm;
+    trunk::TrunkManager trunk_manager;
+    CallerStub callers;
+    Timer call_timer, trunk_timer;
 };
 
 // ---- The hub -----------------------------------------------------------------------------------------
 
-Hub::Hub(Simulation& simulation, Chance& chance, Truth& truth, HubSettings settings)
-    : simulation_(simulation), chance_(chance), truth_(truth), settings_(std::move(settings)) {
+Hub::Hub(Simulation& simulation, Random& random, GroundTruth& truth, HubSettings settings)
+    : simulation_(simulation), random_(random), truth_(truth), settings_(std::move(settings)) {
     for (const trunk::GroupSettings& group : settings_.groups)
-        ends_[group.id] = std::make_unique<End>(*this, group.id);
+        group_ends_[group.id] = std::make_unique<GroupEnd>(*this, group.id);
 }
 
 Hub::~Hub() = default;
 
-WireEnd& Hub::end(std::uint32_t group) {
-    return *ends_.at(group);
+LinkEnd& Hub::link_end(std::uint32_t group) {
+    return *group_ends_.at(group);
 }
 
-void Hub::connect(std::uint32_t group, Wire& wire) {
-    ends_.at(group)->wire = &wire;
+void Hub::attach_link(std::uint32_t group, Link& link) {
+    group_ends_.at(group)->link = &link;
 }
 
-trunk::TrunkManager* Hub::front() {
-    return process_ ? &process_->front : nullptr;
+trunk::TrunkManager* Hub::trunk_manager() {
+    return process_ ? &process_->trunk_manager : nullptr;
 }
 
 const Counters* Hub::counters() const {
     return process_ ? &process_->counters : nullptr;
 }
 
-void Hub::do_awake(std::function<void()> work) {
+void Hub::run_when_responsive(std::function<void()> work) {
     if (!process_) return;
-    if (!stalled()) return work();
-    simulation_.at(stalled_until_, [this, life = life_, work = std::move(work)]() mutable {
-        if (process_ && life == life_) do_awake(std::move(work));
-    });
+    if (!is_stalled()) return work();
+    simulation_.schedule_at(stalled_until_,
+                            [this, incarnation = incarnation_, work = std::move(work)]() mutable {
+                                if (process_ && incarnation == incarnation_)
+                                    run_when_responsive(std::move(work));
+                            });
 }
 
 void Hub::start(bool with_ledger) {
-    ++life_;
+    ++incarnation_;
     stalled_until_ = {};
     process_ = std::make_unique<Process>(*this);
-    Process& p = *process_;
-    p.front.on_output(
-        [this](trunk::TrunkManager::Trunk& trunk) { ends_.at(trunk.settings().id)->flush(trunk); });
-    p.front.on_freed([this](const trunk::TrunkManager::Trunk&, const trunk::FreedByAudit& freed) {
-        const auto at = truth_.calls.find(freed.call);
-        if (at != truth_.calls.end() && at->second.live()) ++truth_.live_cut_by_audit;
-    });
+    Process& process = *process_;
+    process.trunk_manager.on_output(
+        [this](trunk::TrunkManager::Trunk& trunk) { group_ends_.at(trunk.settings().id)->flush(trunk); });
+    process.trunk_manager.on_freed(
+        [this](const trunk::TrunkManager::Trunk&, const trunk::FreedByAudit& freed) {
+            const auto at = truth_.calls.find(freed.call);
+            if (at != truth_.calls.end() && at->second.is_intact()) ++truth_.live_cut_by_audit;
+        });
     ListEvent list{.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}};
     ListedExchange& lines = list.entries.emplace_back();
-    lines.entry.exchange = kLines;
+    lines.entry.exchange = kLinesExchange;
     lines.entry.number = settings_.number;
     lines.entry.lines_only = true;
     for (const trunk::GroupSettings& group : settings_.groups)
-        p.routes.add_route(p.front.add(group).settings().exchange, p.front);
-    p.front.begin(life_, with_ledger ? &ledger_ : nullptr);
-    p.gatekeeper.apply_list(p.front.with_far_hubs(list));
-    lines_tell_room();
+        process.routes.add_route(process.trunk_manager.add(group).settings().exchange, process.trunk_manager);
+    process.trunk_manager.begin(incarnation_, with_ledger ? &ledger_ : nullptr);
+    process.gatekeeper.apply_list(process.trunk_manager.with_far_hubs(list));
+    report_free_lines();
     if (with_ledger) {
         std::vector<trunk::LedgerCall> calls;
-        for (const auto& [group, places] : ledger_.places)
-            for (trunk::LedgerCall& call : trunk::complete_calls(places)) calls.push_back(std::move(call));
-        p.front.restore(calls, [&p](const trunk::LedgerCall& known, CallerLink* link) {
-            const ExchangeId at =
-                known.outgoing ? p.front.find(known.group)->settings().exchange : known.exchange;
-            p.gatekeeper.accept_standing(at, known.call, known.origin, link);
+        for (const auto& [group, circuits_held] : ledger_.circuits_held)
+            for (trunk::LedgerCall& call : trunk::complete_calls(circuits_held))
+                calls.push_back(std::move(call));
+        process.trunk_manager.restore(calls, [&process](const trunk::LedgerCall& record, CallerLink* link) {
+            const ExchangeId at = record.outgoing
+                                      ? process.trunk_manager.find(record.group)->settings().exchange
+                                      : record.exchange;
+            process.gatekeeper.accept_standing(at, record.call, record.origin, link);
         });
     }
-    // Callers and lines that stand here have nobody left who would tell them of an end.
-    if (!with_ledger || !std::exchange(remembers_, true)) {
-        if (!with_ledger) ledger_.places.clear();
-        remembers_ = with_ledger;
+    // Without the ledger's records, nobody can notify the callers and lines of this hub of a release any
+    // more.
+    if (!with_ledger || !std::exchange(uses_ledger_, true)) {
+        if (!with_ledger) ledger_.circuits_held.clear();
+        uses_ledger_ = with_ledger;
         for (auto& [id, call] : truth_.calls)
             if (call.from == settings_.number || call.to == settings_.number) call.damaged = true;
     }
-    p.gatekeeper.on_caller_connected(p.callers);
-    for (const CallId& call : std::exchange(caller_releases_, {})) caller_hangs_up(call);
-    for (const CallId& call : std::exchange(line_ends_, {})) line_hangs_up(call);
+    process.gatekeeper.on_caller_connected(process.callers);
+    for (const CallId& call : std::exchange(pending_caller_releases_, {})) release_by_caller(call);
+    for (const CallId& call : std::exchange(pending_line_releases_, {})) release_by_line(call);
 }
 
 void Hub::crash() {
     if (!process_) return;
     for (auto& [id, call] : truth_.calls) {
-        if (call.from != settings_.number || call.caller != TrueCall::Caller::waits) continue;
-        call.caller = TrueCall::Caller::over;  // its connection is reset; nothing is owed any more
+        if (call.from != settings_.number || call.caller != CallRecord::CallerState::waiting) continue;
+        call.caller =
+            CallRecord::CallerState::finished;  // its connection is reset, so no final answer is pending
         call.damaged = true;
     }
     process_.reset();
-    for (auto& [group, end] : ends_) end->gone(), end->wire->hang_up(*end);
+    for (auto& [group, end] : group_ends_) end->process_gone(), end->link->close(*end);
 }
 
 // ---- Callers -----------------------------------------------------------------------------------------
 
 void Hub::place_call(int to, bool wide) {
-    if (!process_ || stalled()) return;  // callers reach only a process that takes them
+    if (!process_ || is_stalled()) return;  // callers reach only a process that accepts connections
     char id[17];
     std::snprintf(id, sizeof id, "%04x%012llx", settings_.number + 1,
-                  static_cast<unsigned long long>(++placed_));
+                  static_cast<unsigned long long>(++calls_placed_));
     const CallId call = id;
-    TrueCall& known = truth_.calls[call];
-    known.from = settings_.number;
-    known.to = to;
-    known.placed = simulation_.now();
+    CallRecord& record = truth_.calls[call];
+    record.from = settings_.number;
+    record.to = to;
+    record.placed = simulation_.now();
     ++truth_.offered;
     SetUpRequest offer;
     offer.call = call;
     offer.service_class = wide ? "live-board" : "move";
     offer.number = call;
     offer.description = "offer";
-    offer.time_left = settings_.patience;
+    offer.time_left = settings_.caller_time_limit;
     offer.destination = to;
-    offer.width = wide ? settings_.wide : 1;
-    if (chance_.once_in(0.04)) {
-        simulation_.after(chance_.between({}, milliseconds(300)), [this, call, life = life_] {
-            do_awake([this, call, life] {
-                TrueCall& waiting = truth_.calls[call];
-                if (life != life_ || waiting.caller != TrueCall::Caller::waits) return;
-                waiting.caller = TrueCall::Caller::over;
-                waiting.given_up = true;
-                process_->gatekeeper.on_release(process_->callers, call);
+    offer.width = wide ? settings_.wide_width : 1;
+    if (random_.draw_bool(0.04)) {
+        simulation_.schedule_after(
+            random_.draw_between({}, milliseconds(300)), [this, call, incarnation = incarnation_] {
+                run_when_responsive([this, call, incarnation] {
+                    CallRecord& waiting = truth_.calls[call];
+                    if (incarnation != incarnation_ || waiting.caller != CallRecord::CallerState::waiting)
+                        return;
+                    waiting.caller = CallRecord::CallerState::finished;
+                    waiting.cancelled = true;
+                    process_->gatekeeper.on_release(process_->callers, call);
+                });
             });
-        });
     }
     process_->gatekeeper.on_set_up(process_->callers, offer);
 }
 
-void Hub::heard_answer(const CallId& call) {
-    TrueCall& known = truth_.calls[call];
-    if (++known.finals > 1) ++truth_.answers_double;
-    if (known.caller != TrueCall::Caller::waits) return;
-    known.caller = TrueCall::Caller::stands;
-    ++truth_.stood;
-    const Duration holds = chance_.exponential(settings_.holding);
-    const bool caller_ends = chance_.once_in(0.5);
-    const int to = known.to;
-    simulation_.after(holds, [this, call, caller_ends, to] {
-        caller_ends || to == settings_.number ? caller_hangs_up(call) : line_ends_by_(to, call);
+void Hub::handle_answer(const CallId& call) {
+    CallRecord& record = truth_.calls[call];
+    if (++record.final_answers > 1) ++truth_.double_answers;
+    if (record.caller != CallRecord::CallerState::waiting) return;
+    record.caller = CallRecord::CallerState::connected;
+    ++truth_.answered;
+    const Duration holding_time = random_.draw_exponential(settings_.mean_holding_time);
+    const bool caller_ends = random_.draw_bool(0.5);
+    const int to = record.to;
+    simulation_.schedule_after(holding_time, [this, call, caller_ends, to] {
+        caller_ends || to == settings_.number ? release_by_caller(call) : release_far_line_(to, call);
     });
 }
 
-void Hub::heard_release(const CallId& call, ReleaseReason ending) {
-    TrueCall& known = truth_.calls[call];
+void Hub::handle_release(const CallId& call, ReleaseReason ending) {
+    CallRecord& record = truth_.calls[call];
     if (ending == ReleaseReason::refused || ending == ReleaseReason::failed) {
-        if (++known.finals > 1) ++truth_.answers_double;
-    } else if (ending == ReleaseReason::cut && known.live()) {
-        ++truth_.cut;
+        if (++record.final_answers > 1) ++truth_.double_answers;
+    } else if (ending == ReleaseReason::cut && record.is_intact()) {
+        ++truth_.cut_calls;
     }
-    known.caller = TrueCall::Caller::over;
+    record.caller = CallRecord::CallerState::finished;
 }
 
-void Hub::caller_hangs_up(const CallId& call) {
-    TrueCall& known = truth_.calls[call];
-    if (known.caller != TrueCall::Caller::stands) return;
-    if (!process_) return caller_releases_.push_back(call);
-    if (stalled()) return simulation_.at(stalled_until_, [this, call] { caller_hangs_up(call); });
-    known.caller = TrueCall::Caller::over;
+void Hub::release_by_caller(const CallId& call) {
+    CallRecord& record = truth_.calls[call];
+    if (record.caller != CallRecord::CallerState::connected) return;
+    if (!process_) return pending_caller_releases_.push_back(call);
+    if (is_stalled())
+        return simulation_.schedule_at(stalled_until_, [this, call] { release_by_caller(call); });
+    record.caller = CallRecord::CallerState::finished;
     process_->gatekeeper.on_release(process_->callers, call);
 }
 
 // ---- Lines -------------------------------------------------------------------------------------------
 
-void Hub::line_set_up(const CallId& call) {
-    const double fate = chance_.share();
-    if (fate > 0.98) return;  // no answer ever comes
-    simulation_.after(chance_.between(kAnswerLeast, kAnswerMost), [this, call, fate, life = life_] {
-        do_awake([this, call, fate, life] {
-            if (life != life_) return;
-            const ExchangeId* at = process_->gatekeeper.exchange_of(call);
-            if (!at || *at != kLines) return;
-            if (fate > 0.95)
-                return process_->gatekeeper.on_call_ended(kLines, call, Outcome::failed, Cause::none, {});
-            if (fate > 0.90)
-                return process_->gatekeeper.on_call_ended(kLines, call, Outcome::turned_back,
-                                                          Cause::processor_full, {});
-            truth_.calls[call].line_stands = true;
-            process_->gatekeeper.on_answer(kLines, call, "answer");
-        });
-    });
+void Hub::set_up_line(const CallId& call) {
+    const double outcome = random_.draw_unit();
+    if (outcome > 0.98) return;  // no answer
+    simulation_.schedule_after(random_.draw_between(kAnswerDelayMin, kAnswerDelayMax),
+                               [this, call, outcome, incarnation = incarnation_] {
+                                   run_when_responsive([this, call, outcome, incarnation] {
+                                       if (incarnation != incarnation_) return;
+                                       const ExchangeId* at = process_->gatekeeper.exchange_of(call);
+                                       if (!at || *at != kLinesExchange) return;
+                                       if (outcome > 0.95)
+                                           return process_->gatekeeper.on_call_ended(
+                                               kLinesExchange, call, Outcome::failed, Cause::none, {});
+                                       if (outcome > 0.90)
+                                           return process_->gatekeeper.on_call_ended(
+                                               kLinesExchange, call, Outcome::turned_back,
+                                               Cause::processor_full, {});
+                                       truth_.calls[call].line_connected = true;
+                                       process_->gatekeeper.on_answer(kLinesExchange, call, "answer");
+                                   });
+                               });
 }
 
-void Hub::line_hangs_up(const CallId& call) {
-    TrueCall& known = truth_.calls[call];
-    if (!known.line_stands) return;
-    if (!process_) return line_ends_.push_back(call);
-    if (stalled()) return simulation_.at(stalled_until_, [this, call] { line_hangs_up(call); });
-    known.line_stands = false;
-    process_->gatekeeper.on_call_ended(kLines, call, Outcome::ended, Cause::none, {});
-    lines_tell_room();
+void Hub::release_by_line(const CallId& call) {
+    CallRecord& record = truth_.calls[call];
+    if (!record.line_connected) return;
+    if (!process_) return pending_line_releases_.push_back(call);
+    if (is_stalled()) return simulation_.schedule_at(stalled_until_, [this, call] { release_by_line(call); });
+    record.line_connected = false;
+    process_->gatekeeper.on_call_ended(kLinesExchange, call, Outcome::ended, Cause::none, {});
+    report_free_lines();
 }
 
-// Lines say how many are free whenever one falls free, as carrier switches do; there are always enough.
-void Hub::lines_tell_room() {
-    LoadReport room;
-    room.free_circuits = room.group_size = kLineCircuits;
-    process_->gatekeeper.on_group_state(kLines, room);
+// Reports the number of free lines, as carrier switches do whenever a line becomes free. There are always
+// enough.
+void Hub::report_free_lines() {
+    LoadReport report;
+    report.free_circuits = report.group_size = kLineCount;
+    process_->gatekeeper.on_group_state(kLinesExchange, report);
 }
 
 }  // namespace nettlestall::lab
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -1,5 +1,5 @@
 // One hub of the lab: the real decision module, call table and trunk signalling, on the virtual clock. Its
-// callers and its lines are stand-ins that live on when its process crashes.
+// callers and subscriber lines are simulated; they go on when the hub's process crashes.
 #pragma once
 
 #include <map>
@@ -10,107 +10,121 @@
 
 #include "calls/gatekeeper.hpp"
 #include "calls/routes.hpp"
+#include "lab/link.hpp"
 #include "lab/simulation.hpp"
-#include "lab/wire.hpp"
 #include "trunk/trunk_manager.hpp"
 
 namespace nettlestall::lab {
 
-// What callers and lines know: the truth that the hubs' states are held against.
-struct TrueCall {
-    int from = 0, to = 0;
+// The state of one call as its caller and its line see it. The states of the hubs are compared with it.
+struct CallRecord {
+    int from = 0, to = 0;  // numbers of the hubs
     Instant placed{};
-    enum class Caller { waits, stands, over } caller = Caller::waits;
-    bool line_stands = false;
-    bool given_up = false;
-    bool damaged = false;  // a crash or a fault has taken what its end needs to go on
-    int finals = 0;        // final answers that the caller heard
-    bool live() const { return caller == Caller::stands && line_stands && !damaged; }
+    enum class CallerState { waiting, connected, finished } caller = CallerState::waiting;
+    bool line_connected = false;
+    bool cancelled = false;
+    bool damaged = false;   // a crash or a fault has removed state that one of its hubs needs
+    int final_answers = 0;  // answers and rejections that the caller received
+    // True while the call is answered at both ends and no fault has damaged it.
+    bool is_intact() const { return caller == CallerState::connected && line_connected && !damaged; }
 };
 
-struct Truth {
-    std::map<CallId, TrueCall> calls;
-    std::uint64_t answers_double = 0, cut = 0, stood = 0, live_cut_by_audit = 0;
+// All calls of an experiment and its counters, which the hubs share.
+struct GroundTruth {
+    std::map<CallId, CallRecord> calls;
+    std::uint64_t double_answers = 0, cut_calls = 0, answered = 0, live_cut_by_audit = 0;
     std::uint64_t live_at_crash = 0, survived_crash = 0;
     std::uint64_t offered = 0;
     double circuit_seconds = 0;
 };
 
-// Survives the process, as a disk does.
+// A circuit ledger in memory. Like a file, it survives a crash of the hub's process.
 class MemoryLedger final : public trunk::Ledger {
    public:
     void store_call(const trunk::LedgerCall& call) override {
-        for (const trunk::CircuitNumber n : call.claim.circuits) places[call.group][n] = call;
+        for (const trunk::CircuitNumber n : call.claim.circuits) circuits_held[call.group][n] = call;
     }
     void remove_call(std::uint32_t group, const trunk::Claim& claim) override {
-        std::erase_if(places[group],
-                      [&](const auto& place) { return place.second.claim.call == claim.call; });
+        std::erase_if(circuits_held[group],
+                      [&](const auto& held) { return held.second.claim.call == claim.call; });
     }
     void store_blocking(std::uint32_t group, trunk::CircuitNumber circuit,
                         trunk::Blocking blocking) override {
         blocked[{group, circuit}] = blocking;
     }
-    std::map<std::uint32_t, std::map<trunk::CircuitNumber, trunk::LedgerCall>> places;
+    std::map<std::uint32_t, std::map<trunk::CircuitNumber, trunk::LedgerCall>> circuits_held;
     std::map<std::pair<std::uint32_t, trunk::CircuitNumber>, trunk::Blocking> blocked;
 };
 
 struct HubSettings {
-    int number = 0, hubs = 2;
+    int number = 0;  // from 0
+    int hub_count = 2;
     std::vector<trunk::GroupSettings> groups;
-    Duration holding{}, patience{};
-    double wide_share = 0.0;
-    int wide = 3;
+    Duration mean_holding_time{};  // of answered calls
+    Duration caller_time_limit{};  // callers wait that long for an answer
+    double wide_share = 0.0;       // share of wide calls
+    int wide_width = 3;            // circuits that a wide call takes
 };
 
+// The hub. All references that it is given must outlive it.
 class Hub {
    public:
-    Hub(Simulation& simulation, Chance& chance, Truth& truth, HubSettings settings);
+    Hub(Simulation& simulation, Random& random, GroundTruth& truth, HubSettings settings);
     ~Hub();
 
-    WireEnd& end(std::uint32_t group);
-    void connect(std::uint32_t group, Wire& wire);
+    LinkEnd& link_end(std::uint32_t group);
+    void attach_link(std::uint32_t group, Link& link);
+    // Starts a process, which restores its calls if it is given the ledger.
     void start(bool with_ledger);
+    // Ends the process without notice. Its connections close.
     void crash();
+    // The process does nothing for that long; events wait.
     void stall(Duration length) { stalled_until_ = std::max(stalled_until_, simulation_.now() + length); }
-    bool alive() const { return process_ != nullptr; }
-    bool stalled() const { return simulation_.now() < stalled_until_; }
+    bool is_running() const { return process_ != nullptr; }
+    bool is_stalled() const { return simulation_.now() < stalled_until_; }
 
+    // A caller of this hub calls a number of hub `to`.
     void place_call(int to, bool wide);
-    // Who is told that a line of another hub hangs up.
-    void on_line_end(std::function<void(int, const CallId&)> end) { line_ends_by_ = std::move(end); }
-    void line_hangs_up(const CallId& call);
+    // Sets the function that releases a call by its line at another hub (number of the hub, call).
+    void on_far_line_release(std::function<void(int, const CallId&)> release) {
+        release_far_line_ = std::move(release);
+    }
+    // The line of this hub hangs up.
+    void release_by_line(const CallId& call);
 
-    trunk::TrunkManager* front();
+    // Both return nullptr while no process is running.
+    trunk::TrunkManager* trunk_manager();
     const Counters* counters() const;
 
    private:
     struct Process;
-    class End;
-    class Callers;
-    class Lines;
+    class GroupEnd;
+    class CallerStub;
+    class LineStub;
 
-    // Runs now, or once the hub no longer stalls; never in another life.
-    void do_awake(std::function<void()> work);
-    void caller_hangs_up(const CallId& call);
-    void heard_answer(const CallId& call);
-    void heard_release(const CallId& call, ReleaseReason ending);
-    void line_set_up(const CallId& call);
-    void lines_tell_room();
+    // Runs the task now, or when the hub no longer stalls; drops it if the process has ended by then.
+    void run_when_responsive(std::function<void()> work);
+    void release_by_caller(const CallId& call);
+    void handle_answer(const CallId& call);
+    void handle_release(const CallId& call, ReleaseReason ending);
+    void set_up_line(const CallId& call);
+    void report_free_lines();
 
     Simulation& simulation_;
-    Chance& chance_;
-    Truth& truth_;
+    Random& random_;
+    GroundTruth& truth_;
     HubSettings settings_;
     MemoryLedger ledger_;
-    std::map<std::uint32_t, std::unique_ptr<End>> ends_;
+    std::map<std::uint32_t, std::unique_ptr<GroupEnd>> group_ends_;
     std::unique_ptr<Process> process_;
-    std::uint32_t life_ = 0;
-    bool remembers_ = false;  // this life notes its calls in the ledger
+    std::uint32_t incarnation_ = 0;
+    bool uses_ledger_ = false;  // this incarnation records its calls in the ledger
     Instant stalled_until_{};
-    std::vector<CallId> caller_releases_;  // for the next life
-    std::vector<CallId> line_ends_;
-    std::uint64_t placed_ = 0;
-    std::function<void(int, const CallId&)> line_ends_by_;
+    // Releases by callers and lines while no process was running; the next incarnation receives them.
+    std::vector<CallId> pending_caller_releases_;
+    std::vector<CallId> pending_line_releases_;
+    std::uint64_t calls_placed_ = 0;
+    std::function<void(int, const CallId&)> release_far_line_;
 };
 
 }  // namespace nettlestall::lab
--- a/src/lab/live.cpp
+++ b/src/lab/live.cpp
@@ -34,22 +34,22 @@
                                         R"({"name":"live-board","points":3,"aim_s":1,"deadline_s":3}],)"
                                         R"("limits":{"send_cap":5,"open_cap":1000},)"
                                         R"("obligations":{"drain_grace_s":0.5,"grace_to_answer_s":0.02}}})";
-constexpr Duration kHolds = std::chrono::seconds(1);  // mean
+constexpr Duration kMeanHoldingTime = std::chrono::seconds(1);
 constexpr double kWideShare = 0.1;
-constexpr milliseconds kTick{50};
-constexpr auto kReady = std::chrono::seconds(10), kDrains = std::chrono::seconds(15);
+constexpr milliseconds kTickInterval{50};
+constexpr auto kStartTimeout = std::chrono::seconds(10), kDrainTimeout = std::chrono::seconds(15);
 
-// Cuts what a connection brings into messages, in place.
-struct Reader {
-    MessageReader inbox;
-    std::function<void(const Message&)> take;
-    std::span<char> read_buffer() { return inbox.read_buffer(); }
+// Splits the bytes of a connection into messages and passes them to `handler`.
+struct ConnectionReader {
+    MessageReader messages;
+    std::function<void(const Message&)> handler;
+    std::span<char> read_buffer() { return messages.read_buffer(); }
     bool consume(std::size_t bytes) {
-        return inbox.consume(bytes, [this](const Message& message) { return take(message), true; });
+        return messages.consume(bytes, [this](const Message& message) { return handler(message), true; });
     }
 };
 
-// A gatekeeper as a child process, in a folder of its own; it ends with this one.
+// A gatekeeper as a child process, whose files are in `folder`. The kernel kills it if this process dies.
 class Child {
    public:
     Child(const std::string& program, const std::string& folder, int operators) {
@@ -76,24 +76,28 @@
     pid_t pid_ = -1;
 };
 
-struct Tally {
-    std::map<CallId, int> finals;  // by call: final answers
-    std::uint64_t placed = 0, answered = 0, turned_away = 0, ended = 0;
+// Counts of calls over both hubs.
+struct CallCounts {
+    std::map<CallId, int> final_answers;  // number of final answers by call
+    std::uint64_t placed = 0, answered = 0, rejected = 0, ended = 0;
     int standing = 0;
 };
 
+// One hub: its ports, its process, and the connections of its callers and of its lines.
 struct Hub {
     int number = 0, callers = 0, operators = 0, trunk = 0, lines = 0;
     std::string folder;
     std::unique_ptr<Child> child;
     std::unique_ptr<tcp::acceptor> lines_acceptor;
     std::shared_ptr<net::Connection> caller, line;
-    Reader caller_reader, line_reader;
+    ConnectionReader caller_reader, line_reader;
 };
 
-class Live {
+// Runs both hubs, and the callers and lines on one io_context.
+class LiveExperiment {
    public:
-    explicit Live(const LiveSettings& settings) : settings_(settings), chance_(settings.seed), clock_(io_) {
+    explicit LiveExperiment(const LiveSettings& settings)
+        : settings_(settings), random_(settings.seed), timer_(io_) {
         folder_ = (std::filesystem::temp_directory_path() / ("nettlestall-live." + std::to_string(getpid())))
                       .string();
         for (int h = 0; h < 2; ++h) {
@@ -107,7 +111,7 @@
             hub.lines = hub.lines_acceptor->local_endpoint().port();
         }
     }
-    ~Live() {
+    ~LiveExperiment() {
         for (Hub& hub : hubs_) hub.child.reset();
         std::error_code none;
         std::filesystem::remove_all(folder_, none);
@@ -122,7 +126,7 @@
         std::printf(
             "two gatekeepers, one group of %d circuits; callers at ports %d and %d, operators at %d and %d\n",
             settings_.circuits, hubs_[0].callers, hubs_[1].callers, hubs_[0].operators, hubs_[1].operators);
-        net::spawn(io_, play());
+        net::spawn(io_, run_calls());
         io_.run();
         return result_;
     }
@@ -148,9 +152,10 @@
             << R"({"name":"hub-)" << own << R"(","listen":")" << at(hub.callers) << kModuleSettings << '\n';
     }
 
-    // ---- Lines: every number answers soon, talks for a while and hangs up, or waits for the caller to
+    // ---- Lines: each call is answered after 20 to 120 ms; half of the lines hang up, the others wait for
+    // the caller
 
-    static void tell_room(Hub& hub) {
+    static void report_free_lines(Hub& hub) {
         hub.line->send(
             FrameBuilder(MessageType::group_state, "").text(ParameterCode::report, "x0:500;x1:500").build());
     }
@@ -161,17 +166,17 @@
                 co_await hub.lines_acceptor->async_accept(net::asio::as_tuple(use_awaitable));
             if (error) co_return;
             hub.line = std::make_shared<net::Connection>(std::move(socket), counters_);
-            tell_room(hub);
+            report_free_lines(hub);
             hub.line_reader = {};
-            hub.line_reader.take = [this, &hub](const Message& message) {
-                if (message.type == MessageType::release) tell_room(hub);
+            hub.line_reader.handler = [this, &hub](const Message& message) {
+                if (message.type == MessageType::release) report_free_lines(hub);
                 if (message.type == MessageType::set_up)
-                    after(chance_.between(milliseconds(20), milliseconds(120)),
+                    after(random_.draw_between(milliseconds(20), milliseconds(120)),
                           [this, &hub, call = message.call()] {
                               hub.line->send(FrameBuilder(MessageType::answer, call)
                                                  .build(std::make_shared<const std::string>("media")));
-                              if (chance_.once_in(0.5))
-                                  after(chance_.exponential(kHolds), [this, &hub, call] {
+                              if (random_.draw_bool(0.5))
+                                  after(random_.draw_exponential(kMeanHoldingTime), [this, &hub, call] {
                                       hub.line->send(FrameBuilder(MessageType::release, call)
                                                          .cause(cause::kNormalClearing)
                                                          .build());
@@ -187,9 +192,9 @@
     void place_call(Hub& hub, const Hub& to) {
         char id[17];
         std::snprintf(id, sizeof id, "%04x%012llx", hub.number,
-                      static_cast<unsigned long long>(++tally_.placed));
-        const bool wide = chance_.once_in(kWideShare);
-        tally_.finals[id] = 0;
+                      static_cast<unsigned long long>(++counts_.placed));
+        const bool wide = random_.draw_bool(kWideShare);
+        counts_.final_answers[id] = 0;
         hub.caller->send(FrameBuilder(MessageType::set_up, id)
                              .text(ParameterCode::service_class, wide ? "live-board" : "move")
                              .text(ParameterCode::time_left, "2500")
@@ -199,44 +204,44 @@
                              .build(std::make_shared<const std::string>("media offered")));
     }
 
-    void heard(Hub& hub, const Message& message) {
+    void handle_message(Hub& hub, const Message& message) {
         const CallId call = message.call();
-        const auto known = tally_.finals.find(call);
-        if (known == tally_.finals.end()) return;
+        const auto known = counts_.final_answers.find(call);
+        if (known == counts_.final_answers.end()) return;
         if (message.type == MessageType::answer) {
-            ++known->second, ++tally_.answered, ++tally_.standing;
-            stands_[call] = true;
-            after(3 * chance_.exponential(kHolds), [this, &hub, call] {
-                if (!stands_.erase(call)) return;  // the line has hung up before
-                --tally_.standing, ++tally_.ended;
+            ++known->second, ++counts_.answered, ++counts_.standing;
+            connected_calls_[call] = true;
+            after(3 * random_.draw_exponential(kMeanHoldingTime), [this, &hub, call] {
+                if (!connected_calls_.erase(call)) return;  // the line has hung up first
+                --counts_.standing, ++counts_.ended;
                 hub.caller->send(
                     FrameBuilder(MessageType::release, call).cause(cause::kNormalClearing).build());
             });
-        } else if (message.type == MessageType::release && stands_.erase(call)) {
-            --tally_.standing, ++tally_.ended;
+        } else if (message.type == MessageType::release && connected_calls_.erase(call)) {
+            --counts_.standing, ++counts_.ended;
         } else if (message.type == MessageType::release) {
-            ++known->second, ++tally_.turned_away;
+            ++known->second, ++counts_.rejected;
         }
     }
 
-    awaitable<void> call_in(Hub& hub) {
+    awaitable<void> connect_caller(Hub& hub) {
         tcp::socket socket(io_);
-        const auto limit = std::chrono::steady_clock::now() + kReady;
+        const auto limit = std::chrono::steady_clock::now() + kStartTimeout;
         while (co_await net::connect(socket, *net::to_endpoint(at(hub.callers)), milliseconds(500))) {
             if (std::chrono::steady_clock::now() > limit)
-                throw std::runtime_error("a gatekeeper does not come up");
+                throw std::runtime_error("a gatekeeper does not start");
             socket = tcp::socket(io_);
-            co_await wait(kTick);
+            co_await wait(kTickInterval);
         }
         hub.caller = std::make_shared<net::Connection>(std::move(socket), counters_);
-        hub.caller_reader.take = [this, &hub](const Message& message) { heard(hub, message); };
-        net::spawn(io_, listen(hub));
+        hub.caller_reader.handler = [this, &hub](const Message& message) { handle_message(hub, message); };
+        net::spawn(io_, read_caller(hub));
     }
-    awaitable<void> listen(Hub& hub) {
+    awaitable<void> read_caller(Hub& hub) {
         co_await hub.caller->read_into(hub.caller_reader, [] {});
     }
 
-    // ---- The play
+    // ---- The run
 
     awaitable<void> wait(Duration time) {
         net::asio::steady_timer timer(io_, time);
@@ -249,8 +254,8 @@
         });
     }
 
-    // A figure of the group at that hub's operators' address; -1: no answer.
-    awaitable<long> figure(const Hub& hub, std::string name) {
+    // Reads a metric of the group from the operators' address of the hub; -1 if there is no reply.
+    awaitable<long> fetch_metric(const Hub& hub, std::string name) {
         tcp::socket socket(io_);
         if (co_await net::connect(socket, *net::to_endpoint(at(hub.operators)), milliseconds(500)))
             co_return -1;
@@ -264,75 +269,80 @@
         co_return found == std::string::npos ? -1 : std::atol(reply.c_str() + reply.find(':', found) + 1);
     }
 
-    awaitable<void> play() {
-        for (Hub& hub : hubs_) co_await call_in(hub);
-        const auto ready = std::chrono::steady_clock::now() + kReady;
+    awaitable<void> run_calls() {
+        for (Hub& hub : hubs_) co_await connect_caller(hub);
+        const auto ready = std::chrono::steady_clock::now() + kStartTimeout;
         for (Hub& hub : hubs_)
-            while (co_await figure(hub, "up") != 1) {
+            while (co_await fetch_metric(hub, "up") != 1) {
                 if (std::chrono::steady_clock::now() > ready)
-                    throw std::runtime_error("the circuit group does not come up");
-                co_await wait(kTick);
+                    throw std::runtime_error("the circuit group does not come into service");
+                co_await wait(kTickInterval);
             }
         std::printf("the group is in service\n");
-        const double each_tick = settings_.calls_per_second * static_cast<double>(kTick.count()) / 1000.0;
-        const int ticks = static_cast<int>(settings_.seconds * 1000.0 / static_cast<double>(kTick.count()));
-        const int a_second = static_cast<int>(1000 / kTick.count());
-        double due = 0;
+        const double calls_per_tick =
+            settings_.calls_per_second * static_cast<double>(kTickInterval.count()) / 1000.0;
+        const int ticks =
+            static_cast<int>(settings_.seconds * 1000.0 / static_cast<double>(kTickInterval.count()));
+        const int ticks_per_second = static_cast<int>(1000 / kTickInterval.count());
+        double calls_due = 0;
         for (int tick = 1; tick <= ticks; ++tick) {
-            for (due += each_tick; due >= 1; due -= 1)
-                for (int h = 0; h < 2; ++h) place_call(hubs_[h], hubs_[1 - h]);  // both ends at one moment
-            co_await wait(kTick);
-            if (tick % a_second == 0) {
-                const long busy = co_await figure(hubs_[0], "busy");
+            for (calls_due += calls_per_tick; calls_due >= 1; calls_due -= 1)
+                for (int h = 0; h < 2; ++h) place_call(hubs_[h], hubs_[1 - h]);  // at both ends at once
+            co_await wait(kTickInterval);
+            if (tick % ticks_per_second == 0) {
+                const long busy = co_await fetch_metric(hubs_[0], "busy");
                 std::printf(
-                    "%3d s: %6llu calls placed, %6llu answered, %4llu turned away, %3d standing, %2ld of %d "
+                    "%3d s: %6llu calls placed, %6llu answered, %4llu rejected, %3d standing, %2ld of %d "
                     "circuits busy\n",
-                    tick / a_second, static_cast<unsigned long long>(tally_.placed),
-                    static_cast<unsigned long long>(tally_.answered),
-                    static_cast<unsigned long long>(tally_.turned_away), tally_.standing, busy,
+                    tick / ticks_per_second, static_cast<unsigned long long>(counts_.placed),
+                    static_cast<unsigned long long>(counts_.answered),
+                    static_cast<unsigned long long>(counts_.rejected), counts_.standing, busy,
                     settings_.circuits);
                 std::fflush(stdout);
             }
         }
-        co_await summary();
+        co_await print_summary();
         io_.stop();
     }
 
-    awaitable<void> summary() {
-        const auto limit = std::chrono::steady_clock::now() + kDrains;
+    awaitable<void> print_summary() {
+        const auto limit = std::chrono::steady_clock::now() + kDrainTimeout;
         long busy = 1;
-        while (std::chrono::steady_clock::now() < limit && (busy != 0 || tally_.standing > 0)) {
+        while (std::chrono::steady_clock::now() < limit && (busy != 0 || counts_.standing > 0)) {
             co_await wait(milliseconds(200));
-            busy = std::max(co_await figure(hubs_[0], "busy"), co_await figure(hubs_[1], "busy"));
+            busy = std::max(co_await fetch_metric(hubs_[0], "busy"), co_await fetch_metric(hubs_[1], "busy"));
         }
         std::uint64_t missing = 0, twice = 0;
-        for (const auto& [call, finals] : tally_.finals) missing += finals == 0, twice += finals > 1;
-        const long lost = co_await figure(hubs_[0], "glares_lost") + co_await figure(hubs_[1], "glares_lost");
+        for (const auto& [call, answers] : counts_.final_answers)
+            missing += answers == 0, twice += answers > 1;
+        const long lost =
+            co_await fetch_metric(hubs_[0], "glares_lost") + co_await fetch_metric(hubs_[1], "glares_lost");
         std::printf(
-            "%llu calls: %llu answered, %llu turned away; %llu without an answer, %llu with two; "
+            "%llu calls: %llu answered, %llu rejected; %llu without a final answer, %llu with several; "
             "%ld dual seizures settled; %ld circuits busy at the end\n",
-            static_cast<unsigned long long>(tally_.placed), static_cast<unsigned long long>(tally_.answered),
-            static_cast<unsigned long long>(tally_.turned_away), static_cast<unsigned long long>(missing),
+            static_cast<unsigned long long>(counts_.placed),
+            static_cast<unsigned long long>(counts_.answered),
+            static_cast<unsigned long long>(counts_.rejected), static_cast<unsigned long long>(missing),
             static_cast<unsigned long long>(twice), lost, busy);
         result_ = missing == 0 && twice == 0 && busy == 0 ? 0 : 1;
     }
 
     LiveSettings settings_;
-    Chance chance_;
+    Random random_;
     net::asio::io_context io_{1};
-    net::asio::steady_timer clock_;
+    net::asio::steady_timer timer_;
     Counters counters_;
     std::string folder_;
     Hub hubs_[2];
-    Tally tally_;
-    std::map<CallId, bool> stands_;
+    CallCounts counts_;
+    std::map<CallId, bool> connected_calls_;
     int result_ = 1;
 };
 
 }  // namespace
 
 int run_live(const LiveSettings& settings) {
-    return Live(settings).run();
+    return LiveExperiment(settings).run();
 }
 
 }  // namespace nettlestall::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,5 +1,6 @@
-// The rig: experiments on a virtual clock. The last line of an experiment's output is one JSON object; one
-// seed gives the same bytes.
+// nettlestall_lab: experiments with the gatekeeper. `glare` and `search` run on a virtual clock; the last
+// line of their output is one JSON object, and one seed gives the same bytes every time. `live` runs real
+// processes.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <iostream>
@@ -15,33 +16,35 @@
     auto settings = std::make_shared<GlareSettings>();
     auto json = std::make_shared<bool>(false);
     auto samples = std::make_shared<bool>(false);
-    CLI::App* glare = app.add_subcommand("glare", "Hubs joined by circuit groups, over hours of faults");
-    glare->add_option("--seed", settings->seed, "Of all that chance decides")->capture_default_str();
-    glare->add_option("--hours", settings->hours, "Of simulated time")
+    CLI::App* glare = app.add_subcommand("glare", "Hubs joined by circuit groups, through hours of faults");
+    glare->add_option("--seed", settings->seed, "Seed of all random numbers")->capture_default_str();
+    glare->add_option("--hours", settings->hours, "Hours of simulated time")
         ->check(CLI::Range(0.01, 1000.0))
         ->capture_default_str();
-    glare->add_option("--hubs", settings->hubs, "Joined each with each")
+    glare->add_option("--hubs", settings->hubs, "Number of hubs, joined each with each")
         ->check(CLI::Range(2, 20))
         ->capture_default_str();
-    glare->add_option("--circuits", settings->circuits, "Of each group")
+    glare->add_option("--circuits", settings->circuits, "Circuits of each group")
         ->check(CLI::Range(4, 2048))
         ->capture_default_str();
-    glare->add_option("--load", settings->load, "Offered, as a share of the circuits")
+    glare->add_option("--load", settings->load, "Offered traffic, as a share of the circuits")
         ->check(CLI::Range(0.01, 5.0))
         ->capture_default_str();
     glare->add_flag("!--no-parity", settings->parity, "Baseline: hunt from the lowest circuit at both ends");
     glare->add_flag("!--no-audits", settings->audits, "Baseline: no audits");
-    glare->add_flag("!--no-ledgers", settings->ledgers, "No hub remembers anything after a crash");
-    glare->add_flag("!--no-crashes", settings->crashes, "All faults but crashes, which clear what is stuck");
-    glare->add_flag("!--no-faults", settings->faults, "Traffic alone");
-    glare->add_flag("--json", *json, "Only the JSON object");
-    glare->add_flag("--samples", *samples, "Lines of hours, stuck and busy shares, every ten minutes");
+    glare->add_flag("!--no-ledgers", settings->ledgers, "No hub restores its calls after a crash");
+    glare->add_flag("!--no-crashes", settings->crashes,
+                    "All faults except crashes, which free stuck circuits");
+    glare->add_flag("!--no-faults", settings->faults, "No faults, only traffic");
+    glare->add_flag("--json", *json, "Print only the JSON object");
+    glare->add_flag("--samples", *samples,
+                    "Print hours, share of stuck and of busy circuits every ten minutes");
     glare->callback([settings, json, samples] {
         const GlareResult result = run_glare(*settings);
         if (*samples)
             for (const auto& s : result.samples) std::printf("%.3f %.4f %.4f\n", s.hours, s.stuck, s.busy);
         if (!*json && !*samples)
-            std::printf("%llu calls, %llu stood; %llu glares; %llu circuits stuck at the end\n",
+            std::printf("%llu calls, %llu answered; %llu glares; %llu circuits stuck at the end\n",
                         static_cast<unsigned long long>(result.calls),
                         static_cast<unsigned long long>(result.stood),
                         static_cast<unsigned long long>(result.glares),
@@ -55,32 +58,35 @@
     auto settings = std::make_shared<SearchSettings>();
     CLI::App* search = app.add_subcommand("search", "All states that two ends of a group can reach together");
     search->add_option("--circuits", settings->circuits)->check(CLI::Range(1, 8))->capture_default_str();
-    search->add_option("--calls", settings->calls, "That each end may place")->capture_default_str();
-    search->add_option("--breaks", settings->breaks, "After which the link starts anew")
+    search->add_option("--calls", settings->calls, "Calls that each end may place")->capture_default_str();
+    search->add_option("--breaks", settings->breaks, "Link breaks after which the link starts anew")
+        ->capture_default_str();
+    search->add_option("--resumes", settings->resumes, "Link breaks after which the link is resumed")
         ->capture_default_str();
-    search->add_option("--resumes", settings->resumes, "After which it goes on")->capture_default_str();
     search->add_option("--crashes", settings->crashes)->capture_default_str();
-    search->add_option("--losses", settings->losses, "Calls that one end forgets")->capture_default_str();
-    search->add_option("--repeats", settings->repeats, "Messages that are heard twice")
+    search->add_option("--losses", settings->losses, "Calls whose state one end loses")
+        ->capture_default_str();
+    search->add_option("--repeats", settings->repeats, "Messages that are received twice")
+        ->capture_default_str();
+    search->add_option("--audits", settings->audits, "Audits, started at any time")->capture_default_str();
+    search->add_option("--ticks", settings->ticks, "Steps of six seconds, at any time")
         ->capture_default_str();
-    search->add_option("--audits", settings->audits, "Ordered at any moment")->capture_default_str();
-    search->add_option("--ticks", settings->ticks, "Leaps of time at any moment")->capture_default_str();
-    search->add_option("--most-states", settings->most_states)->capture_default_str();
+    search->add_option("--most-states", settings->max_states)->capture_default_str();
     search->add_flag("--wide", settings->wide, "Calls take two circuits");
-    search->add_flag("!--no-ledger", settings->ledger, "A crashed end remembers nothing");
+    search->add_flag("!--no-ledger", settings->ledger, "A crashed end does not restore its calls");
     search->add_option("--broken", settings->broken, "A rule to break on purpose")
         ->check(CLI::IsMember({"", "glare", "audit"}));
     search->callback([settings] {
         const SearchResult result = nettlestall::lab::search(*settings);
-        for (std::size_t i = 0; i < result.trail.size() && !result.wrong.empty(); ++i)
-            std::printf("%3zu  %s\n", i + 1, result.trail[i].c_str());
-        if (!result.wrong.empty()) std::printf("     %s\n", result.wrong.c_str());
+        for (std::size_t i = 0; i < result.trace.size() && !result.violation.empty(); ++i)
+            std::printf("%3zu  %s\n", i + 1, result.trace[i].c_str());
+        if (!result.violation.empty()) std::printf("     %s\n", result.violation.c_str());
         std::printf(
             "{\"experiment\":\"search\",\"states\":%llu,\"transitions\":%llu,\"complete\":%s,\"wrong\":\"%"
             "s\"}\n",
             static_cast<unsigned long long>(result.states),
             static_cast<unsigned long long>(result.transitions), result.complete ? "true" : "false",
-            result.wrong.c_str());
+            result.violation.c_str());
     });
 }
 
@@ -89,8 +95,8 @@
     auto settings = std::make_shared<LiveSettings>();
     CLI::App* live =
         app.add_subcommand("live", "Two real gatekeepers on loopback, with scripted callers and lines");
-    live->add_option("--program", settings->program, "The gatekeeper")->capture_default_str();
-    live->add_option("--seconds", settings->seconds, "Of calls")
+    live->add_option("--program", settings->program, "Path of the gatekeeper")->capture_default_str();
+    live->add_option("--seconds", settings->seconds, "Seconds during which calls are placed")
         ->check(CLI::Range(1.0, 3600.0))
         ->capture_default_str();
     live->add_option("--rate", settings->calls_per_second, "Calls a second at each hub")
@@ -103,15 +109,15 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     int result = 0;
-    CLI::App app("Experiments of the gatekeeper on a virtual clock", "nettlestall_lab");
+    CLI::App app("Experiments with the gatekeeper", "nettlestall_lab");
     app.require_subcommand(1);
     add_glare(app);
     add_search(app);
     add_live(app, result);
     try {
-        app.parse(count, words);
+        app.parse(count, arguments);
     } catch (const CLI::ParseError& problem) {
         return app.exit(problem) == 0 ? 0 : 2;
     } catch (const std::exception& problem) {
--- a/src/lab/search.cpp
+++ b/src/lab/search.cpp
@@ -17,29 +17,31 @@
 using trunk::Leg;
 using trunk::LegState;
 
-constexpr Duration kTick = std::chrono::seconds(6);  // longer than the guards of releases and resets
-constexpr int kQuietRounds = 60;
+constexpr Duration kTimeStep = std::chrono::seconds(6);  // longer than the timers of releases and resets
+constexpr int kMaxQuiescenceRounds = 60;
 
-bool never_ours(const trunk::PointCodes&, const trunk::CircuitList&, const trunk::CircuitList&) {
+// A broken rule for dual seizures: both ends decide that the other's seizure wins.
+bool never_wins(const trunk::PointCodes&, const trunk::CircuitList&, const trunk::CircuitList&) {
     return false;
 }
 
-GroupRules rules_of(const SearchSettings& settings, int end) {
+GroupRules rules_for(const SearchSettings& settings, int end) {
     GroupRules rules;
     rules.point_codes = end == 0 ? trunk::PointCodes{1, 2} : trunk::PointCodes{2, 1};
     rules.circuits = settings.circuits;
     rules.audit.confirmations = 1;
     rules.audit.interval = std::chrono::minutes(1);
-    if (settings.broken == "glare") rules.glare_rule = &never_ours;
+    if (settings.broken == "glare") rules.glare_rule = &never_wins;
     if (settings.broken == "audit") rules.audit.skip_changed_circuits = false;
     return rules;
 }
 
-// ---- One state of the two ends -------------------------------------------------------------------------
+// ---- The state of the two ends -------------------------------------------------------------------------
 
-struct World {
-    explicit World(const SearchSettings& settings)
-        : ends{Group(rules_of(settings, 0), 1), Group(rules_of(settings, 1), 1)},
+// Both ends, the messages between them, and how many faults and calls are still to come.
+struct SystemState {
+    explicit SystemState(const SearchSettings& settings)
+        : ends{Group(rules_for(settings, 0), 1), Group(rules_for(settings, 1), 1)},
           calls{settings.calls, settings.calls},
           breaks(settings.breaks),
           resumes(settings.resumes),
@@ -48,103 +50,107 @@
           repeats(settings.repeats),
           ticks(settings.ticks),
           audits(settings.audits) {
-        up(false);
+        link_up(false);
     }
 
     std::array<Group, 2> ends;
-    std::array<std::deque<trunk::Message>, 2> to;  // under way to that end
+    std::array<std::deque<trunk::Message>, 2> in_transit;  // by receiving end
     std::array<int, 2> calls;
-    std::array<std::uint32_t, 2> lives{1, 1};
+    std::array<std::uint32_t, 2> incarnations{1, 1};
     int breaks, resumes, crashes, losses, repeats, ticks, audits;
-    bool is_up = false, renew = false, lost_any = false;
+    bool is_up = false, must_restart_link = false, any_state_lost = false;
     Instant now{std::chrono::hours(1)};
-    std::string wrong;
+    std::string violation;
 
-    void carry_out(int by, const Effects& effects) {
+    void apply_effects(int by, const Effects& effects) {
         for (const trunk::Effect& effect : effects) {
-            if (const auto* send = std::get_if<trunk::Send>(&effect)) to[other(by)].push_back(send->message);
-            if (std::holds_alternative<trunk::RestartLink>(effect)) renew = true;
-            if (std::holds_alternative<trunk::FreedByAudit>(effect) && !lost_any)
-                wrong = "an audit freed a call that nobody had forgotten";
+            if (const auto* send = std::get_if<trunk::Send>(&effect))
+                in_transit[other(by)].push_back(send->message);
+            if (std::holds_alternative<trunk::RestartLink>(effect)) must_restart_link = true;
+            if (std::holds_alternative<trunk::FreedByAudit>(effect) && !any_state_lost)
+                violation = "an audit freed a call although no state was lost";
         }
     }
     static std::size_t other(int end) { return static_cast<std::size_t>(1 - end); }
     Group& end(int which) { return ends[static_cast<std::size_t>(which)]; }
     const Group& end(int which) const { return ends[static_cast<std::size_t>(which)]; }
-    std::deque<trunk::Message>& inbox(int which) { return to[static_cast<std::size_t>(which)]; }
+    std::deque<trunk::Message>& inbox(int which) { return in_transit[static_cast<std::size_t>(which)]; }
 
-    void down() {
+    void link_down() {
         is_up = false;
         for (int e : {0, 1}) {
             Effects effects;
             end(e).link_down(now, effects);
-            carry_out(e, effects);
+            apply_effects(e, effects);
         }
     }
-    void up(bool resumed) {
-        if (!resumed) to[0].clear(), to[1].clear(), renew = false;
+    void link_up(bool resumed) {
+        if (!resumed) in_transit[0].clear(), in_transit[1].clear(), must_restart_link = false;
         is_up = true;
         for (int e : {0, 1}) {
             Effects effects;
             end(e).link_up(now, resumed, effects);
-            carry_out(e, effects);
+            apply_effects(e, effects);
         }
     }
-    void deliver(int e, bool keep = false) {
+    // Delivers the next message to end e; a duplicate stays in transit.
+    void deliver(int e, bool duplicate = false) {
         const trunk::Message message = inbox(e).front();
-        if (!keep) inbox(e).pop_front();
+        if (!duplicate) inbox(e).pop_front();
         Effects effects;
-        const char* complaint = end(e).receive(now, message, effects);
-        carry_out(e, effects);
-        if (complaint) down(), up(false);  // as the session would
+        const char* session_error = end(e).receive(now, message, effects);
+        apply_effects(e, effects);
+        if (session_error) link_down(), link_up(false);  // as the link's session does
     }
+    // Restarts an end, which restores its answered calls if it has a ledger.
     void crash(int e, const SearchSettings& settings) {
-        if (is_up) down();
-        std::vector<std::pair<trunk::Claim, const Leg*>> stood;
+        if (is_up) link_down();
+        std::vector<std::pair<trunk::Claim, const Leg*>> standing;
         const Group before = end(e);
         for (const auto& [ref, leg] : before.legs())
-            if (leg.state == LegState::standing) stood.push_back({{ref, leg.circuits}, &leg});
-        end(e) = Group(rules_of(settings, e), ++lives[static_cast<std::size_t>(e)]);
+            if (leg.state == LegState::standing) standing.push_back({{ref, leg.circuits}, &leg});
+        end(e) = Group(rules_for(settings, e), ++incarnations[static_cast<std::size_t>(e)]);
         if (settings.ledger)
-            for (const auto& [claim, leg] : stood) end(e).restore(claim, leg->call, leg->outgoing, now);
-        renew = true;
+            for (const auto& [claim, leg] : standing) end(e).restore(claim, leg->call, leg->outgoing, now);
+        must_restart_link = true;
     }
-    void pass(Duration time) {
+    void advance_time(Duration time) {
         now += time;
         for (int e : {0, 1}) {
             Effects effects;
             end(e).run_timers(now, effects);
-            carry_out(e, effects);
+            apply_effects(e, effects);
         }
     }
     void release(int e, CallRef ref) {
         Effects effects;
         end(e).release(now, ref, trunk::Reason::normal, effects);
-        carry_out(e, effects);
+        apply_effects(e, effects);
     }
 
-    std::string image() const {
+    // Equal for equal states; leaves out the time itself.
+    std::string state_key() const {
         std::string text;
         for (const Group& group : ends) text += group.state_key(now) + '|';
-        for (const auto& inbox : to) {
+        for (const auto& inbox : in_transit) {
             for (const trunk::Message& message : inbox)
                 text += trunk::encode(trunk::NumberedMessage{0, 0, message});
             text += '|';
         }
         for (const int left : {calls[0], calls[1], breaks, resumes, crashes, losses, repeats, ticks, audits})
             text += static_cast<char>('0' + left);
-        return text + (is_up ? 'u' : 'd') + (renew ? 'r' : '-') + (lost_any ? 'l' : '-');
+        return text + (is_up ? 'u' : 'd') + (must_restart_link ? 'r' : '-') + (any_state_lost ? 'l' : '-');
     }
 
-    // A circuit that both ends hold for calls that were taken must be held for the same one.
-    void check() {
-        for (int n = 1; n <= ends[0].circuits().size() && wrong.empty(); ++n) {
+    // If both ends hold a circuit for an accepted call, it must be the same call.
+    void check_ownership() {
+        for (int n = 1; n <= ends[0].circuits().size() && violation.empty(); ++n) {
             const trunk::Circuit &a = ends[0].circuits().at(n), &b = ends[1].circuits().at(n);
-            if (owned(a.state) && owned(b.state) && a.call != b.call)
-                wrong = "two calls own circuit " + std::to_string(n);
+            if (owns_circuit(a.state) && owns_circuit(b.state) && a.call != b.call)
+                violation = "two calls own circuit " + std::to_string(n);
         }
     }
-    static bool owned(trunk::CircuitState state) {
+    static bool owns_circuit(trunk::CircuitState state) {
         return state == trunk::CircuitState::proceeding || state == trunk::CircuitState::incoming ||
                state == trunk::CircuitState::standing;
     }
@@ -152,137 +158,148 @@
 
 // ---- The search ----------------------------------------------------------------------------------------
 
+// A depth-first search.
 class Search {
    public:
     explicit Search(const SearchSettings& settings) : settings_(settings) {}
 
     SearchResult run() {
-        const World first(settings_);
+        const SystemState first(settings_);
         complete_ = true;
         visit(first);
-        result_.complete = complete_ && result_.wrong.empty();
+        result_.complete = complete_ && result_.violation.empty();
         return std::move(result_);
     }
 
    private:
-    using Step = std::function<void(World&)>;
+    using Step = std::function<void(SystemState&)>;
 
-    bool seen(const World& world) {
-        const std::string image = world.image();
-        const std::uint64_t one = std::hash<std::string_view>{}(image);
-        const std::uint64_t two = std::hash<std::string_view>{}(image + '*');
-        return !seen_.insert({one, two}).second;
+    // Notes the state; true if it was visited before. Keeps two hashes instead of the state itself.
+    bool mark_seen(const SystemState& state) {
+        const std::string key = state.state_key();
+        const std::uint64_t one = std::hash<std::string_view>{}(key);
+        const std::uint64_t two = std::hash<std::string_view>{}(key + '*');
+        return !visited_.insert({one, two}).second;
     }
 
-    // False: something is wrong, or there are too many states; the trail stays as it is.
-    bool visit(const World& world) {
-        if (seen(world)) return true;
+    // Visits the state and all that can be reached from it. Returns false, and leaves the trace as it is, on
+    // a violation or if there are too many states.
+    bool visit(const SystemState& state) {
+        if (mark_seen(state)) return true;
         ++result_.states;
-        if (result_.states >= settings_.most_states) return complete_ = false;
-        if (!quiet(world)) return false;
+        if (result_.states >= settings_.max_states) return complete_ = false;
+        if (!check_quiescence(state)) return false;
         std::vector<std::pair<std::string, Step>> steps;
-        list_steps(world, steps);
+        list_steps(state, steps);
         for (auto& [name, step] : steps) {
-            World next = world;
+            SystemState next = state;
             step(next);
-            next.check();
+            next.check_ownership();
             ++result_.transitions;
-            result_.trail.push_back(name);
-            if (!next.wrong.empty()) {
-                result_.wrong = next.wrong;
+            result_.trace.push_back(name);
+            if (!next.violation.empty()) {
+                result_.violation = next.violation;
                 return false;
             }
             if (!visit(next)) return false;
-            result_.trail.pop_back();
+            result_.trace.pop_back();
         }
         return true;
     }
 
-    void list_steps(const World& world, std::vector<std::pair<std::string, Step>>& steps) {
+    // Lists all events that can happen in the state.
+    void list_steps(const SystemState& state, std::vector<std::pair<std::string, Step>>& steps) {
         const char* const names[] = {"A", "B"};
         for (int e : {0, 1}) {
-            const std::string who = names[e];
-            const Group& group = world.end(e);
-            if (world.is_up && !world.to[static_cast<std::size_t>(e)].empty()) {
-                const std::string what(trunk::name_of(world.to[static_cast<std::size_t>(e)].front()));
-                steps.emplace_back(who + " hears: " + what, [e](World& w) { w.deliver(e); });
-                if (world.repeats > 0)
-                    steps.emplace_back(who + " hears twice: " + what,
-                                       [e](World& w) { --w.repeats, w.lost_any = true, w.deliver(e, true); });
+            const std::string end_name = names[e];
+            const Group& group = state.end(e);
+            if (state.is_up && !state.in_transit[static_cast<std::size_t>(e)].empty()) {
+                const std::string message_name(
+                    trunk::name_of(state.in_transit[static_cast<std::size_t>(e)].front()));
+                steps.emplace_back(end_name + " receives: " + message_name,
+                                   [e](SystemState& s) { s.deliver(e); });
+                if (state.repeats > 0)
+                    steps.emplace_back(
+                        end_name + " receives a duplicate: " + message_name,
+                        [e](SystemState& s) { --s.repeats, s.any_state_lost = true, s.deliver(e, true); });
             }
-            if (group.in_service() && world.calls[static_cast<std::size_t>(e)] > 0)
-                steps.emplace_back(who + " seizes", [this, e](World& w) {
-                    --w.calls[static_cast<std::size_t>(e)];
+            if (group.in_service() && state.calls[static_cast<std::size_t>(e)] > 0)
+                steps.emplace_back(end_name + " seizes", [this, e](SystemState& s) {
+                    --s.calls[static_cast<std::size_t>(e)];
                     Effects effects;
-                    w.end(e).set_up(w.now, {.call = "c"}, settings_.wide ? 2 : 1, effects);
-                    w.carry_out(e, effects);
+                    s.end(e).set_up(s.now, {.call = "c"}, settings_.wide ? 2 : 1, effects);
+                    s.apply_effects(e, effects);
                 });
             for (const auto& [ref, leg] : group.legs()) {
                 const std::string call = " call " + std::to_string(ref & 0xff);
                 if (leg.state == LegState::incoming)
-                    steps.emplace_back(who + " answers" + call, [e, r = ref](World& w) {
+                    steps.emplace_back(end_name + " answers" + call, [e, r = ref](SystemState& s) {
                         Effects effects;
-                        w.end(e).answer(w.now, r, "", effects);
-                        w.carry_out(e, effects);
+                        s.end(e).answer(s.now, r, "", effects);
+                        s.apply_effects(e, effects);
                     });
                 if (leg.state != LegState::yielding && leg.state != LegState::releasing)
-                    steps.emplace_back(who + " releases" + call, [e, r = ref](World& w) { w.release(e, r); });
-                if (world.losses > 0 && leg.state == LegState::standing)
-                    steps.emplace_back(who + " forgets" + call, [e, r = ref](World& w) {
-                        --w.losses, w.lost_any = true;
-                        w.end(e).inject_memory_loss(r);
+                    steps.emplace_back(end_name + " releases" + call,
+                                       [e, r = ref](SystemState& s) { s.release(e, r); });
+                if (state.losses > 0 && leg.state == LegState::standing)
+                    steps.emplace_back(end_name + " loses the state of" + call, [e, r = ref](SystemState& s) {
+                        --s.losses, s.any_state_lost = true;
+                        s.end(e).inject_memory_loss(r);
                     });
             }
-            if (world.audits > 0 && group.in_service())
-                steps.emplace_back(who + " audits", [e](World& w) {
-                    --w.audits;
-                    w.end(e).audit_now(w.now);
+            if (state.audits > 0 && group.in_service())
+                steps.emplace_back(end_name + " audits", [e](SystemState& s) {
+                    --s.audits;
+                    s.end(e).audit_now(s.now);
                     Effects effects;
-                    w.end(e).run_timers(w.now, effects);
-                    w.carry_out(e, effects);
+                    s.end(e).run_timers(s.now, effects);
+                    s.apply_effects(e, effects);
                 });
-            if (world.crashes > 0)
-                steps.emplace_back(who + " crashes",
-                                   [this, e](World& w) { --w.crashes, w.crash(e, settings_); });
+            if (state.crashes > 0)
+                steps.emplace_back(end_name + " crashes",
+                                   [this, e](SystemState& s) { --s.crashes, s.crash(e, settings_); });
         }
-        if (world.is_up && world.breaks + world.resumes > 0)
-            steps.emplace_back("the link breaks", [](World& w) { w.down(); });
-        if (!world.is_up && world.resumes > 0 && !world.renew)
-            steps.emplace_back("the link is resumed", [](World& w) { --w.resumes, w.up(true); });
-        if (!world.is_up && (world.breaks > 0 || world.renew))
-            steps.emplace_back("the link starts anew",
-                               [](World& w) { w.breaks -= w.renew ? 0 : 1, w.up(false); });
-        if (world.ticks > 0)
-            steps.emplace_back("six seconds pass", [](World& w) { --w.ticks, w.pass(kTick); });
+        if (state.is_up && state.breaks + state.resumes > 0)
+            steps.emplace_back("the link breaks", [](SystemState& s) { s.link_down(); });
+        if (!state.is_up && state.resumes > 0 && !state.must_restart_link)
+            steps.emplace_back("the link is resumed", [](SystemState& s) { --s.resumes, s.link_up(true); });
+        if (!state.is_up && (state.breaks > 0 || state.must_restart_link))
+            steps.emplace_back("the link starts anew", [](SystemState& s) {
+                s.breaks -= s.must_restart_link ? 0 : 1, s.link_up(false);
+            });
+        if (state.ticks > 0)
+            steps.emplace_back("six seconds pass",
+                               [](SystemState& s) { --s.ticks, s.advance_time(kTimeStep); });
     }
 
-    // Nothing fails any more, nobody seizes, and each call is released by the end that seized it, if that
-    // still has it. Everything must fall idle.
-    bool quiet(const World& from) {
-        World world = from;
-        ++result_.quiet_runs;
-        for (int round = 0; round < kQuietRounds && world.wrong.empty(); ++round) {
-            if (!world.is_up) world.up(!world.renew);
-            while (!world.to[0].empty() || !world.to[1].empty())
+    // Checks that all circuits become idle when there are no more faults and seizures and each call is
+    // released by the end that seized it, if that end still has it.
+    bool check_quiescence(const SystemState& from) {
+        SystemState state = from;
+        ++result_.quiescence_checks;
+        for (int round = 0; round < kMaxQuiescenceRounds && state.violation.empty(); ++round) {
+            if (!state.is_up) state.link_up(!state.must_restart_link);
+            while (!state.in_transit[0].empty() || !state.in_transit[1].empty())
                 for (int e : {0, 1})
-                    if (!world.inbox(e).empty()) world.deliver(e);
+                    if (!state.inbox(e).empty()) state.deliver(e);
             for (int e : {0, 1}) {
                 std::vector<CallRef> own;
-                for (const auto& [ref, leg] : world.end(e).legs())
+                for (const auto& [ref, leg] : state.end(e).legs())
                     if (leg.outgoing) own.push_back(ref);
-                for (const CallRef ref : own) world.release(e, ref);
+                for (const CallRef ref : own) state.release(e, ref);
             }
-            world.check();
-            if (idle(world)) return true;
-            world.pass(std::chrono::seconds(10));
+            state.check_ownership();
+            if (is_idle(state)) return true;
+            state.advance_time(std::chrono::seconds(10));
         }
-        result_.wrong = world.wrong.empty() ? "quiet does not lead to all idle" : world.wrong + ", in quiet";
+        result_.violation = state.violation.empty() ? "circuits stay busy without faults and calls"
+                                                    : state.violation + ", after the last fault";
         return false;
     }
 
-    static bool idle(const World& world) {
-        return world.to[0].empty() && world.to[1].empty() &&
-               std::all_of(world.ends.begin(), world.ends.end(), [](const Group& group) {
+    static bool is_idle(const SystemState& state) {
+        return state.in_transit[0].empty() && state.in_transit[1].empty() &&
+               std::all_of(state.ends.begin(), state.ends.end(), [](const Group& group) {
                    return group.in_service() && group.circuits().busy_count() == 0 && group.legs().empty();
                });
     }
@@ -293,7 +310,7 @@
     const SearchSettings& settings_;
     SearchResult result_;
     bool complete_ = false;
-    std::unordered_set<std::pair<std::uint64_t, std::uint64_t>, Hash> seen_;
+    std::unordered_set<std::pair<std::uint64_t, std::uint64_t>, Hash> visited_;
 };
 
 }  // namespace
--- a/src/lab/simulation.hpp
+++ b/src/lab/simulation.hpp
@@ -1,4 +1,4 @@
-// A virtual clock: what is to happen, in the order of its moments, and the numbers that chance draws.
+// A discrete-event simulation on a virtual clock, and the random numbers of the experiments.
 #pragma once
 
 #include <boost/random/exponential_distribution.hpp>
@@ -13,58 +13,69 @@
 
 namespace nettlestall::lab {
 
-// Boost's distributions, unlike the standard library's, draw the same numbers everywhere.
-class Chance {
+// A seeded source of random numbers. It uses Boost's distributions because, unlike those of the standard
+// library, they give the same numbers with every compiler and library.
+class Random {
    public:
-    explicit Chance(std::uint64_t seed) : source_(seed) {}
-    int below(int end) { return boost::random::uniform_int_distribution<int>(0, end - 1)(source_); }
-    double share() { return boost::random::uniform_real_distribution<double>(0.0, 1.0)(source_); }
-    bool once_in(double share_of_all) { return share() < share_of_all; }
-    Duration between(Duration least, Duration most) {
-        return least +
-               Duration(static_cast<std::int64_t>(share() * static_cast<double>((most - least).count())));
+    explicit Random(std::uint64_t seed) : engine_(seed) {}
+    // A number from 0 to end - 1.
+    int draw_below(int end) { return boost::random::uniform_int_distribution<int>(0, end - 1)(engine_); }
+    // A number from 0 to less than 1.
+    double draw_unit() { return boost::random::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
+    // True with that probability.
+    bool draw_bool(double probability) { return draw_unit() < probability; }
+    Duration draw_between(Duration min, Duration max) {
+        return min +
+               Duration(static_cast<std::int64_t>(draw_unit() * static_cast<double>((max - min).count())));
     }
-    Duration exponential(Duration mean) {
+    // Exponentially distributed, at least one microsecond.
+    Duration draw_exponential(Duration mean) {
         const double rate = 1.0 / static_cast<double>(mean.count());
         return Duration(
-            static_cast<std::int64_t>(boost::random::exponential_distribution<double>(rate)(source_)) + 1);
+            static_cast<std::int64_t>(boost::random::exponential_distribution<double>(rate)(engine_)) + 1);
     }
 
    private:
-    boost::random::mt19937_64 source_;
+    boost::random::mt19937_64 engine_;
 };
 
+// Runs tasks in the order of their times. The clock starts at one hour and moves only in run_until().
 class Simulation {
    public:
-    using Work = std::function<void()>;
+    using Task = std::function<void()>;
 
     Instant now() const { return now_; }
-    void at(Instant moment, Work work) { queue_.push({std::max(moment, now_), ++order_, std::move(work)}); }
-    void after(Duration delay, Work work) { at(now_ + delay, std::move(work)); }
+    // Runs the task at `time`, or at once on the next run if that is past.
+    void schedule_at(Instant time, Task task) {
+        events_.push({std::max(time, now_), ++last_sequence_, std::move(task)});
+    }
+    void schedule_after(Duration delay, Task task) { schedule_at(now_ + delay, std::move(task)); }
+    // Runs all tasks that are due up to `end`, also those that they schedule, and sets the clock to `end`.
     void run_until(Instant end) {
-        while (!queue_.empty() && queue_.top().at <= end) {
-            now_ = queue_.top().at;
-            const Work work = std::move(const_cast<Entry&>(queue_.top()).work);
-            queue_.pop();
-            ++done_;
-            work();
+        while (!events_.empty() && events_.top().time <= end) {
+            now_ = events_.top().time;
+            const Task task = std::move(const_cast<Event&>(events_.top()).task);
+            events_.pop();
+            ++executed_;
+            task();
         }
         now_ = end;
     }
-    std::uint64_t done() const { return done_; }
+    // The number of tasks that have run.
+    std::uint64_t executed() const { return executed_; }
 
    private:
-    struct Entry {
-        Instant at;
-        std::uint64_t order;  // of what is due at one moment: as it was asked for
-        Work work;
-        bool operator<(const Entry& other) const {
-            return at != other.at ? at > other.at : order > other.order;
+    struct Event {
+        Instant time;
+        std::uint64_t sequence;  // tasks for the same time run in the order in which they were scheduled
+        Task task;
+        bool operator<(const Event& other) const {
+            return time != other.time ? time > other.time : sequence > other.sequence;
         }
     };
-    std::priority_queue<Entry> queue_;
+    std::priority_queue<Event> events_;
     Instant now_{std::chrono::hours(1)};
-    std::uint64_t order_ = 0, done_ = 0;
+    std::uint64_t last_sequence_ = 0, executed_ = 0;
 };
 
 }  // namespace nettlestall::lab
--- a/tests/trunk/lab_test.cpp
+++ b/tests/trunk/lab_test.cpp
@@ -1,4 +1,5 @@
-// The rig holds its own promises: what the experiment must show, on a short run, and that it can fail.
+// The lab's experiments: `glare` on short runs, that its baselines without audits or parity do worse, and
+// that `search` finds rules that are broken on purpose.
 #include <string>
 
 #include "lab/glare.hpp"
@@ -9,20 +10,20 @@
 
 namespace {
 
-void hours_of_faults_leave_nothing_behind(double hours) {
+void faults_leave_no_stuck_circuits(double hours) {
     for (const int hubs : {2, 4})
         for (const std::uint64_t seed : {1, 2}) {
             GlareSettings settings;
             settings.seed = seed, settings.hubs = hubs, settings.hours = hours;
-            const GlareResult r = run_glare(settings);
-            CHECK(r.calls > 400 && r.stood > r.calls / 3 && r.glares > 5 && r.crashes > 0 &&
-                  r.audit_freed > 2);
-            CHECK(r.answers_missing == 0 && r.answers_double == 0 && r.stuck_circuits == 0 &&
-                  r.live_calls_cut == 0);
+            const GlareResult result = run_glare(settings);
+            CHECK(result.calls > 400 && result.stood > result.calls / 3 && result.glares > 5 &&
+                  result.crashes > 0 && result.audit_freed > 2);
+            CHECK(result.answers_missing == 0 && result.answers_double == 0 && result.stuck_circuits == 0 &&
+                  result.live_calls_cut == 0);
         }
 }
 
-void one_seed_gives_the_same_bytes() {
+void same_seed_gives_same_output() {
     GlareSettings settings;
     settings.hours = 0.1;
     const std::string first = to_json(settings, run_glare(settings));
@@ -31,45 +32,46 @@
     CHECK(first != to_json(settings, run_glare(settings)));
 }
 
-void the_baselines_are_worse() {
+void baselines_do_worse() {
     GlareSettings settings;
     settings.load = 0.3;
-    const GlareResult ours = run_glare(settings);
+    const GlareResult with_audits_and_parity = run_glare(settings);
     settings.audits = settings.crashes = false;
     CHECK(run_glare(settings).stuck_circuits > 5);
     settings.audits = settings.crashes = true, settings.parity = false;
-    CHECK(run_glare(settings).glares > 2 * ours.glares);
+    CHECK(run_glare(settings).glares > 2 * with_audits_and_parity.glares);
 }
 
-bool sound(const SearchSettings& settings) {
-    const SearchResult r = search(settings);
-    return r.complete && r.wrong.empty() && r.states > 1000;
+// True if the search saw all states and found no violation.
+bool is_sound(const SearchSettings& settings) {
+    const SearchResult result = search(settings);
+    return result.complete && result.violation.empty() && result.states > 1000;
 }
 
-void all_states_are_sound() {
-    CHECK(sound({.calls = 1, .breaks = 1, .resumes = 1}));
-    CHECK(sound({.calls = 1, .crashes = 1}) && sound({.calls = 1, .crashes = 1, .ledger = false}));
-    CHECK(sound({.calls = 1, .losses = 1, .audits = 1}) && sound({.calls = 1, .ticks = 1}));
+void all_states_are_valid() {
+    CHECK(is_sound({.calls = 1, .breaks = 1, .resumes = 1}));
+    CHECK(is_sound({.calls = 1, .crashes = 1}) && is_sound({.calls = 1, .crashes = 1, .ledger = false}));
+    CHECK(is_sound({.calls = 1, .losses = 1, .audits = 1}) && is_sound({.calls = 1, .ticks = 1}));
 }
 
 void broken_rules_are_found() {
-    const auto found = [](const SearchSettings& settings) {
-        const SearchResult r = search(settings);
-        return !r.wrong.empty() && !r.trail.empty() && !r.complete;
+    const auto finds_violation = [](const SearchSettings& settings) {
+        const SearchResult result = search(settings);
+        return !result.violation.empty() && !result.trace.empty() && !result.complete;
     };
-    CHECK(found({.circuits = 1, .calls = 1, .broken = "glare"}));
-    CHECK(found({.calls = 1, .audits = 1, .broken = "audit"}));
+    CHECK(finds_violation({.circuits = 1, .calls = 1, .broken = "glare"}));
+    CHECK(finds_violation({.calls = 1, .audits = 1, .broken = "audit"}));
 }
 
 }  // namespace
 
-// `short`: for builds under sanitizers, where the whole would take minutes.
-int main(int count, char** words) {
-    const bool whole = count < 2 || std::string(words[1]) != "short";
-    hours_of_faults_leave_nothing_behind(whole ? 0.5 : 0.1);
-    one_seed_gives_the_same_bytes();
-    if (whole) the_baselines_are_worse();
-    CHECK(sound({.circuits = 3, .calls = 1, .repeats = 1, .wide = true}));
-    if (whole) all_states_are_sound();
+// The argument `short` leaves out the long tests, for sanitizer builds, where all of them would take minutes.
+int main(int count, char** arguments) {
+    const bool run_all = count < 2 || std::string(arguments[1]) != "short";
+    faults_leave_no_stuck_circuits(run_all ? 0.5 : 0.1);
+    same_seed_gives_same_output();
+    if (run_all) baselines_do_worse();
+    CHECK(is_sound({.circuits = 3, .calls = 1, .repeats = 1, .wide = true}));
+    if (run_all) all_states_are_valid();
     broken_rules_are_found();
 }
