--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -232,7 +232,7 @@
             lines.entry.exchange = get_text(child, "exchange");
             lines.entry.number = get_number<int>(child, "number");
             lines.entry.zone = get_text(child, "zone");
-            lines.entry.lines_only = true;
+            lines.entry.never_tandem = true;
             lines.address = get_text(child, "address");
             return;
         }
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -20,7 +20,7 @@
 // The element <trunk>: this hub's identity and its circuit groups to other hubs.
 struct TrunkSettings {
     trunk::PointCode point_code = 1;
-    int exchange_number = kNowhere;
+    int exchange_number = kNoExchange;
     std::string listen_address;         // address:port; empty: no other hub connects to this one
     std::string ledger_folder;          // empty: circuits are not recorded on disk
     std::vector<ListedExchange> lines;  // carrier switches that serve this hub's own numbers
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,5 @@
-// The settings object, the same from the simulator's first message and from a gatekeeper's configuration.
+// Reads the object `settings` of the gatekeeper's configuration; the simulator sends the same object in its
+// first message. Both functions throw json::BadInput.
 #pragma once
 
 #include "config/json.hpp"
@@ -6,11 +7,13 @@
 
 namespace nettlestall::config {
 
-struct NetSettings {  // of the sockets, beside the module's own
-    Duration connect_time_out{};
+// Settings of the sockets, which the decision module does not use.
+struct NetSettings {
+    Duration connect_time_out{};  // of connections to exchanges; more than zero
 };
 
-Settings read_settings(const json::Value& facts);
-NetSettings read_net_settings(const json::Value& facts);
+// The settings of the decision module.
+Settings read_settings(const json::Value& object);
+NetSettings read_net_settings(const json::Value& object);
 
 }  // namespace nettlestall::config
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -44,22 +44,22 @@
 
 // Settings of the decision module.
 Settings decision_settings(const HubSettings& hub) {
-    Settings s;
-    s.controls = hub.hub_count;
-    s.max_attempts = 5;
-    s.release_wait = milliseconds(300);
-    s.drain_grace = milliseconds(500);
+    Settings settings;
+    settings.call_control_count = hub.hub_count;
+    settings.max_attempts = 5;
+    settings.release_wait = milliseconds(300);
+    settings.drain_grace = milliseconds(500);
     for (const bool wide : {false, true}) {
-        ClassSettings c;
-        c.name = wide ? "live-board" : "move";
-        c.worth = wide ? 3.0 : 1.0;
-        c.width = wide ? hub.wide_width : 1;
-        c.aim = seconds(2);
-        c.deadline = hub.caller_time_limit;
-        c.holding_time = hub.mean_holding_time;
-        s.classes.push_back(c);
+        ClassSettings service_class;
+        service_class.name = wide ? "live-board" : "move";
+        service_class.worth = wide ? 3.0 : 1.0;
+        service_class.width = wide ? hub.wide_width : 1;
+        service_class.aim = seconds(2);
+        service_class.deadline = hub.caller_time_limit;
+        service_class.holding_time = hub.mean_holding_time;
+        settings.classes.push_back(service_class);
     }
-    return s;
+    return settings;
 }
 
 }  // namespace
@@ -126,7 +126,7 @@
    public:
     explicit CallerStub(Hub& hub) : hub_(hub) {}
     void answer(const CallId& call, Description) override { hub_.handle_answer(call); }
-    void release(const CallId& call, ReleaseReason ending) override { hub_.handle_release(call, ending); }
+    void release(const CallId& call, ReleaseReason reason) override { hub_.handle_release(call, reason); }
     std::string_view origin() const override { return "callers"; }
 
    private:
@@ -228,11 +228,11 @@
             const auto at = truth_.calls.find(freed.call);
             if (at != truth_.calls.end() && at->second.is_intact()) ++truth_.live_cut_by_audit;
         });
-    ListEvent list{.number = 1, .has_list = true, .kind = ListKind::remembered, .version = 1, .entries = {}};
+    ListEvent list{.number = 1, .has_list = true, .kind = ListKind::cached, .version = 1, .entries = {}};
     ListedExchange& lines = list.entries.emplace_back();
     lines.entry.exchange = kLinesExchange;
     lines.entry.number = settings_.number;
-    lines.entry.lines_only = true;
+    lines.entry.never_tandem = true;
     for (const trunk::GroupSettings& group : settings_.groups)
         process.routes.add_route(process.trunk_manager.add(group).settings().exchange, process.trunk_manager);
     process.trunk_manager.begin(incarnation_, with_ledger ? &ledger_ : nullptr);
@@ -288,14 +288,14 @@
     record.to = to;
     record.placed = simulation_.now();
     ++truth_.offered;
-    SetUpRequest offer;
-    offer.call = call;
-    offer.service_class = wide ? "live-board" : "move";
-    offer.number = call;
-    offer.description = "offer";
-    offer.time_left = settings_.caller_time_limit;
-    offer.destination = to;
-    offer.width = wide ? settings_.wide_width : 1;
+    SetUpRequest request;
+    request.call = call;
+    request.service_class = wide ? "live-board" : "move";
+    request.number = call;
+    request.description = "offer";
+    request.time_left = settings_.caller_time_limit;
+    request.destination = to;
+    request.width = wide ? settings_.wide_width : 1;
     if (random_.draw_bool(0.04)) {
         simulation_.schedule_after(
             random_.draw_between({}, milliseconds(300)), [this, call, incarnation = incarnation_] {
@@ -309,7 +309,7 @@
                 });
             });
     }
-    process_->gatekeeper.on_set_up(process_->callers, offer);
+    process_->gatekeeper.on_set_up(process_->callers, request);
 }
 
 void Hub::handle_answer(const CallId& call) {
@@ -326,11 +326,11 @@
     });
 }
 
-void Hub::handle_release(const CallId& call, ReleaseReason ending) {
+void Hub::handle_release(const CallId& call, ReleaseReason reason) {
     CallRecord& record = truth_.calls[call];
-    if (ending == ReleaseReason::refused || ending == ReleaseReason::failed) {
+    if (reason == ReleaseReason::refused || reason == ReleaseReason::failed) {
         if (++record.final_answers > 1) ++truth_.double_answers;
-    } else if (ending == ReleaseReason::cut && record.is_intact()) {
+    } else if (reason == ReleaseReason::cut && record.is_intact()) {
         ++truth_.cut_calls;
     }
     record.caller = CallRecord::CallerState::finished;
@@ -362,8 +362,8 @@
                                                kLinesExchange, call, Outcome::failed, Cause::none, {});
                                        if (outcome > 0.90)
                                            return process_->gatekeeper.on_call_ended(
-                                               kLinesExchange, call, Outcome::turned_back,
-                                               Cause::processor_full, {});
+                                               kLinesExchange, call, Outcome::rejected, Cause::processor_full,
+                                               {});
                                        truth_.calls[call].line_connected = true;
                                        process_->gatekeeper.on_answer(kLinesExchange, call, "answer");
                                    });
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -106,7 +106,7 @@
     void run_when_responsive(std::function<void()> work);
     void release_by_caller(const CallId& call);
     void handle_answer(const CallId& call);
-    void handle_release(const CallId& call, ReleaseReason ending);
+    void handle_release(const CallId& call, ReleaseReason reason);
     void set_up_line(const CallId& call);
     void report_free_lines();
 
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -15,9 +15,9 @@
         case Reason::glare:
         case Reason::not_idle:
         case Reason::unusable:
-            return {Outcome::turned_back, Cause::no_circuit};  // it never ran
+            return {Outcome::rejected, Cause::no_circuit};  // it never ran
         case Reason::refused:
-            return {Outcome::turned_back, direct ? Cause::processor_full : Cause::by_tandem};
+            return {Outcome::rejected, direct ? Cause::processor_full : Cause::rejected_by_tandem};
         case Reason::normal:
         case Reason::failed:
             return {Outcome::failed, Cause::none};
@@ -168,7 +168,7 @@
     Effects effects;
     const CallRef ref = group_.set_up(front_.time_(), std::move(data), forward.width, effects);
     if (ref == kNoCall)
-        return front_.switches_.on_call_ended(settings_.exchange, forward.call, Outcome::turned_back,
+        return front_.switches_.on_call_ended(settings_.exchange, forward.call, Outcome::rejected,
                                               Cause::no_circuit, {});
     outgoing_[forward.call] = ref;
     carry_out(std::move(effects));
@@ -422,7 +422,7 @@
 
 void TrunkManager::add_subscriber_lines(const ListedExchange& lines) {
     lines_.push_back(lines);
-    lines_.back().entry.lines_only = true;
+    lines_.back().entry.never_tandem = true;
 }
 
 void TrunkManager::hand_over() {
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -46,7 +46,7 @@
         "f.xml");
     CHECK(file.log.json && file.log.level == "debug" && file.trunk->listen_address == "[::1]:7001");
     CHECK(file.trunk->ledger_folder == "/var/l" && file.trunk->lines.size() == 1 &&
-          file.trunk->lines[0].entry.lines_only);
+          file.trunk->lines[0].entry.never_tandem);
     const auto& group = file.trunk->groups.at(0);
     CHECK(group.dial_address == "127.0.0.1:7002" && group.settings.rules.point_codes.own == 10 &&
           group.settings.rules.point_codes.far == 20);
@@ -88,13 +88,13 @@
 }
 
 void corrupted_files_are_handled() {
-    test::Random dice{11};
+    test::Random random{11};
     const std::string valid = trunk(kGroup + "<audit every-s=\"9\"/></group>");
     for (int i = 0; i < 3000; ++i) {
         std::string corrupted = valid;
-        for (std::size_t n = 1 + dice.below(4); n > 0; --n)
-            corrupted[dice.below(corrupted.size())] = static_cast<char>(dice.below(256));
-        if (dice.below(3) == 0) corrupted.resize(dice.below(corrupted.size()));
+        for (std::size_t n = 1 + random.below(4); n > 0; --n)
+            corrupted[random.below(corrupted.size())] = static_cast<char>(random.below(256));
+        if (random.below(3) == 0) corrupted.resize(random.below(corrupted.size()));
         errors_of(corrupted);  // must neither crash nor throw anything but json::BadInput
     }
 }
