--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -62,6 +62,7 @@
     std::string file_, text_;
 };
 
+// Parses the text; throws if it is not well-formed XML or has a document type.
 XmlPtr<xmlDoc> parse(const std::string& text, const std::string& name, ErrorList& errors) {
     XmlPtr<xmlParserCtxt> parser(xmlNewParserCtxt());
     xmlSetStructuredErrorFunc(&errors, &ErrorList::on_xml_error_mutable);
@@ -76,6 +77,7 @@
     return document;
 }
 
+// Checks the document against the schema and adds the defaults of attributes to it.
 void validate(xmlDoc* document, ErrorList& errors) {
     XmlPtr<xmlSchemaParserCtxt> schema_parser(
         xmlSchemaNewMemParserCtxt(kOperatorSchema, static_cast<int>(std::strlen(kOperatorSchema))));
@@ -99,14 +101,15 @@
     return text;
 }
 
-std::string trimmed(const std::string& text) {
+// The text without white space at its ends.
+std::string trim(const std::string& text) {
     const auto first = text.find_first_not_of(" \t\r\n"), last = text.find_last_not_of(" \t\r\n");
     return first == std::string::npos ? std::string() : text.substr(first, last - first + 1);
 }
 
 template <class T>
 T get_number(const xmlNode* node, const char* name) {
-    std::string text = trimmed(get_text(node, name));
+    std::string text = trim(get_text(node, name));
     if (!text.empty() && text.front() == '+') text.erase(0, 1);
     T value{};
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -119,7 +122,7 @@
 }
 
 bool get_bool(const xmlNode* node, const char* name) {
-    const std::string text = trimmed(get_text(node, name));
+    const std::string text = trim(get_text(node, name));
     return text == "true" || text == "1";
 }
 
@@ -180,13 +183,13 @@
     explicit ConsistencyChecker(ErrorList& errors) : errors_(errors) {}
 
     void check_exchange(const xmlNode* node) {
-        if (!is_unique(exchanges_, get_text(node, "exchange"), node))
+        if (!insert_unique(exchanges_, get_text(node, "exchange"), node))
             add_duplicate(node, "exchange", "is another element's");
-        if (!is_unique(numbers_, get_text(node, "number"), node))
+        if (!insert_unique(numbers_, get_text(node, "number"), node))
             add_duplicate(node, "number", "is another element's");
     }
     void check_group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& group) {
-        if (!is_unique(groups_, std::to_string(group.id), node))
+        if (!insert_unique(groups_, std::to_string(group.id), node))
             add_duplicate(node, "id", "is another group's");
         const bool dials = !get_text(node, "dial").empty();
         if (group.rules.point_codes.own == group.rules.point_codes.far)
@@ -204,8 +207,9 @@
     }
 
    private:
-    // Notes the key; false if another element has it already.
-    bool is_unique(std::map<std::string, const xmlNode*>& seen, const std::string& key, const xmlNode* node) {
+    // Adds the key; false if another element has it already.
+    bool insert_unique(std::map<std::string, const xmlNode*>& seen, const std::string& key,
+                       const xmlNode* node) {
         return seen.emplace(key, node).second;
     }
     void add_duplicate(const xmlNode* node, const char* attribute, const char* what) {
--- a/src/lab/glare.cpp
+++ b/src/lab/glare.cpp
@@ -93,7 +93,7 @@
         simulation_.run_until(end_ + kQuietPeriod);
         for (const auto& hub : hubs_) add_group_counts(*hub);
         result_.calls = truth_.offered;
-        result_.stood = truth_.answered;
+        result_.answered = truth_.answered;
         result_.answers_double = truth_.double_answers;
         result_.live_calls_cut = truth_.live_cut_by_audit;
         result_.cut_by_faults = truth_.cut_calls;
@@ -334,7 +334,7 @@
     return Experiment(settings).run();
 }
 
-std::string to_json(const GlareSettings& settings, const GlareResult& r) {
+std::string to_json(const GlareSettings& settings, const GlareResult& result) {
     rapidjson::StringBuffer text;
     rapidjson::Writer<rapidjson::StringBuffer> out(text);
     out.SetMaxDecimalPlaces(4);
@@ -346,15 +346,18 @@
     count("hubs", static_cast<std::uint64_t>(settings.hubs));
     out.Key("parity"), out.Bool(settings.parity), out.Key("audits"), out.Bool(settings.audits);
     out.Key("ledgers"), out.Bool(settings.ledgers);
-    count("calls", r.calls), count("stood", r.stood);
-    count("answers_missing", r.answers_missing), count("answers_double", r.answers_double);
-    count("seizures", r.seizures), count("glares", r.glares), count("stuck_circuits", r.stuck_circuits);
-    count("live_calls_cut", r.live_calls_cut), count("audit_freed", r.audit_freed);
-    number("time_to_free_p50_s", r.time_to_free_p50_s), number("time_to_free_p99_s", r.time_to_free_p99_s);
-    number("utilisation", r.utilisation);
-    count("cut_by_faults", r.cut_by_faults), count("recovered", r.recovered), count("guards", r.guards);
-    count("memory_faults", r.memory_faults), count("breaks", r.breaks), count("cuts", r.cuts);
-    count("crashes", r.crashes), count("stalls", r.stalls);
+    count("calls", result.calls), count("stood", result.answered);
+    count("answers_missing", result.answers_missing), count("answers_double", result.answers_double);
+    count("seizures", result.seizures), count("glares", result.glares),
+        count("stuck_circuits", result.stuck_circuits);
+    count("live_calls_cut", result.live_calls_cut), count("audit_freed", result.audit_freed);
+    number("time_to_free_p50_s", result.time_to_free_p50_s),
+        number("time_to_free_p99_s", result.time_to_free_p99_s);
+    number("utilisation", result.utilisation);
+    count("cut_by_faults", result.cut_by_faults), count("recovered", result.recovered),
+        count("guards", result.guards);
+    count("memory_faults", result.memory_faults), count("breaks", result.breaks), count("cuts", result.cuts);
+    count("crashes", result.crashes), count("stalls", result.stalls);
     out.EndObject();
     return text.GetString();
 }
--- a/src/lab/glare.hpp
+++ b/src/lab/glare.hpp
@@ -23,9 +23,9 @@
     double wide_share = 0.1;  // share of calls that take three circuits
 };
 
-// Counters and times, which the JSON object shows under the same names.
+// Counters and times, which the JSON object shows under the same names (`answered` as `stood`).
 struct GlareResult {
-    std::uint64_t calls = 0, stood = 0, answers_missing = 0, answers_double = 0;
+    std::uint64_t calls = 0, answered = 0, answers_missing = 0, answers_double = 0;
     std::uint64_t seizures = 0, glares = 0, stuck_circuits = 0, live_calls_cut = 0, audit_freed = 0;
     std::uint64_t cut_by_faults = 0, recovered = 0, guards = 0, memory_faults = 0, breaks = 0, cuts = 0,
                   crashes = 0, stalls = 0;
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -10,6 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// A link on which nothing arrives for kSilenceTimeout is closed.
 constexpr Duration kHeartbeatInterval = seconds(1), kSilenceTimeout = seconds(3);
 constexpr Duration kAnswerDelayMin = milliseconds(40), kAnswerDelayMax = milliseconds(250);
 constexpr int kLineCount = 1000;  // more than ever are in use
@@ -95,7 +96,7 @@
     void flush(trunk::TrunkManager::Trunk& trunk) {
         if (link) link->send(*this, trunk.take_output());
     }
-    void process_gone() { connected_ = false; }  // the process has crashed
+    void on_process_crashed() { connected_ = false; }
 
    private:
     void close() {
@@ -137,7 +138,7 @@
 class Hub::LineStub final : public Switches {
    public:
     explicit LineStub(Hub& hub) : hub_(hub) {}
-    void set_up(const ExchangeId&, const OutgoingSetUp& forward) override { hub_.set_up_line(forward.call); }
+    void set_up(const ExchangeId&, const OutgoingSetUp& request) override { hub_.set_up_line(request.call); }
     void cancel(const ExchangeId&, const CallId& call) override { hang_up(call); }
     void release(const ExchangeId&, const CallId& call) override { hang_up(call); }
 
@@ -162,9 +163,9 @@
               gatekeeper),
           callers(hub),
           call_timer(hub.simulation_,
-                     [&hub](std::function<void()> work) { hub.run_when_responsive(std::move(work)); }),
+                     [&hub](std::function<void()> task) { hub.run_when_responsive(std::move(task)); }),
           trunk_timer(hub.simulation_,
-                      [&hub](std::function<void()> work) { hub.run_when_responsive(std::move(work)); }) {
+                      [&hub](std::function<void()> task) { hub.run_when_responsive(std::move(task)); }) {
         call_timer.on_expiry([this] { gatekeeper.run_timers(); });
         trunk_timer.on_expiry([this] { trunk_manager.run_timers(); });
         gatekeeper.set_timer_handler([this](Instant at) { call_timer.set(at); });
@@ -206,13 +207,13 @@
     return process_ ? &process_->counters : nullptr;
 }
 
-void Hub::run_when_responsive(std::function<void()> work) {
+void Hub::run_when_responsive(std::function<void()> task) {
     if (!process_) return;
-    if (!is_stalled()) return work();
+    if (!is_stalled()) return task();
     simulation_.schedule_at(stalled_until_,
-                            [this, incarnation = incarnation_, work = std::move(work)]() mutable {
+                            [this, incarnation = incarnation_, task = std::move(task)]() mutable {
                                 if (process_ && incarnation == incarnation_)
-                                    run_when_responsive(std::move(work));
+                                    run_when_responsive(std::move(task));
                             });
 }
 
@@ -250,8 +251,8 @@
             process.gatekeeper.accept_standing(at, record.call, record.origin, link);
         });
     }
-    // Without the ledger's records, nobody can notify the callers and lines of this hub of a release any
-    // more.
+    // The ledger does not have the calls of the previous process, so their callers and lines at this hub get
+    // no release.
     if (!with_ledger || !std::exchange(uses_ledger_, true)) {
         if (!with_ledger) ledger_.circuits_held.clear();
         uses_ledger_ = with_ledger;
@@ -267,12 +268,12 @@
     if (!process_) return;
     for (auto& [id, call] : truth_.calls) {
         if (call.from != settings_.number || call.caller != CallRecord::CallerState::waiting) continue;
-        call.caller =
-            CallRecord::CallerState::finished;  // its connection is reset, so no final answer is pending
+        // The caller's connection is reset, so it gets no final answer.
+        call.caller = CallRecord::CallerState::finished;
         call.damaged = true;
     }
     process_.reset();
-    for (auto& [group, end] : group_ends_) end->process_gone(), end->link->close(*end);
+    for (auto& [group, end] : group_ends_) end->on_process_crashed(), end->link->close(*end);
 }
 
 // ---- Callers -----------------------------------------------------------------------------------------
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -103,7 +103,7 @@
     class LineStub;
 
     // Runs the task now, or when the hub no longer stalls; drops it if the process has ended by then.
-    void run_when_responsive(std::function<void()> work);
+    void run_when_responsive(std::function<void()> task);
     void release_by_caller(const CallId& call);
     void handle_answer(const CallId& call);
     void handle_release(const CallId& call, ReleaseReason reason);
--- a/src/lab/live.cpp
+++ b/src/lab/live.cpp
@@ -35,8 +35,8 @@
                                         R"("limits":{"send_cap":5,"open_cap":1000},)"
                                         R"("obligations":{"drain_grace_s":0.5,"grace_to_answer_s":0.02}}})";
 constexpr Duration kMeanHoldingTime = std::chrono::seconds(1);
-constexpr double kWideShare = 0.1;
-constexpr milliseconds kTickInterval{50};
+constexpr double kWideShare = 0.1;         // share of calls that take three circuits
+constexpr milliseconds kTickInterval{50};  // calls are placed once in that time
 constexpr auto kStartTimeout = std::chrono::seconds(10), kDrainTimeout = std::chrono::seconds(15);
 
 // Splits the bytes of a connection into messages and passes them to `handler`.
@@ -50,9 +50,9 @@
 };
 
 // A gatekeeper as a child process, whose files are in `folder`. The kernel kills it if this process dies.
-class Child {
+class ChildProcess {
    public:
-    Child(const std::string& program, const std::string& folder, int operators) {
+    ChildProcess(const std::string& program, const std::string& folder, int operators) {
         pid_ = fork();
         if (pid_ != 0) return;
         prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -65,12 +65,12 @@
               nullptr);
         _exit(127);
     }
-    ~Child() {
+    ~ChildProcess() {
         if (pid_ <= 0) return;
         kill(pid_, SIGTERM);
         waitpid(pid_, nullptr, 0);
     }
-    Child(const Child&) = delete;
+    ChildProcess(const ChildProcess&) = delete;
 
    private:
     pid_t pid_ = -1;
@@ -83,11 +83,11 @@
     int standing = 0;
 };
 
-// One hub: its ports, its process, and the connections of its callers and of its lines.
+// One hub: its number, the ports of its addresses, its process, and the connections of its callers and lines.
 struct Hub {
     int number = 0, callers = 0, operators = 0, trunk = 0, lines = 0;
     std::string folder;
-    std::unique_ptr<Child> child;
+    std::unique_ptr<ChildProcess> child;
     std::unique_ptr<tcp::acceptor> lines_acceptor;
     std::shared_ptr<net::Connection> caller, line;
     ConnectionReader caller_reader, line_reader;
@@ -105,7 +105,7 @@
             hub.number = h + 1;
             hub.folder = folder_ + "/hub-" + std::to_string(hub.number);
             std::filesystem::create_directories(hub.folder);
-            for (int* port : {&hub.callers, &hub.operators, &hub.trunk}) *port = free_port();
+            for (int* port : {&hub.callers, &hub.operators, &hub.trunk}) *port = find_free_port();
             hub.lines_acceptor =
                 std::make_unique<tcp::acceptor>(io_, tcp::endpoint(net::asio::ip::make_address(kHost), 0));
             hub.lines = hub.lines_acceptor->local_endpoint().port();
@@ -113,15 +113,15 @@
     }
     ~LiveExperiment() {
         for (Hub& hub : hubs_) hub.child.reset();
-        std::error_code none;
-        std::filesystem::remove_all(folder_, none);
+        std::error_code ignored;
+        std::filesystem::remove_all(folder_, ignored);
     }
 
     int run() {
         for (int h = 0; h < 2; ++h) write_files(hubs_[h], hubs_[1 - h]);
         for (Hub& hub : hubs_) {
             net::spawn(io_, serve_lines(hub));
-            hub.child = std::make_unique<Child>(settings_.program, hub.folder, hub.operators);
+            hub.child = std::make_unique<ChildProcess>(settings_.program, hub.folder, hub.operators);
         }
         std::printf(
             "two gatekeepers, one group of %d circuits; callers at ports %d and %d, operators at %d and %d\n",
@@ -132,28 +132,29 @@
     }
 
    private:
-    int free_port() {
+    int find_free_port() {
         tcp::acceptor probe(io_, tcp::endpoint(net::asio::ip::make_address(kHost), 0));
         return probe.local_endpoint().port();
     }
-    static std::string at(int port) { return std::string(kHost) + ':' + std::to_string(port); }
+    static std::string address_of(int port) { return std::string(kHost) + ':' + std::to_string(port); }
 
     void write_files(const Hub& hub, const Hub& far) const {
         const std::string own = std::to_string(hub.number), other = std::to_string(far.number);
         std::ofstream(hub.folder + "/nettlestall.xml")
             << "<nettlestall>\n <trunk point=\"" << own << "0\" number=\"" << own << "\" listen=\""
-            << at(hub.trunk) << "\" ledger=\"" << hub.folder << "\">\n  <lines exchange=\"lines-" << own
-            << "\" number=\"" << own << "\" address=\"" << at(hub.lines)
+            << address_of(hub.trunk) << "\" ledger=\"" << hub.folder << "\">\n  <lines exchange=\"lines-"
+            << own << "\" number=\"" << own << "\" address=\"" << address_of(hub.lines)
             << "\"/>\n  <group id=\"1\" exchange=\"hub-" << other << "\" number=\"" << other
             << "\" far-point=\"" << other << "0\" circuits=\"" << settings_.circuits << '"'
-            << (hub.number < far.number ? " dial=\"" + at(far.trunk) + '"' : "")
+            << (hub.number < far.number ? " dial=\"" + address_of(far.trunk) + '"' : "")
             << "><audit every-s=\"2\" patience-s=\"1\"/></group>\n </trunk>\n</nettlestall>\n";
-        std::ofstream(hub.folder + "/config.json")
-            << R"({"name":"hub-)" << own << R"(","listen":")" << at(hub.callers) << kModuleSettings << '\n';
+        std::ofstream(hub.folder + "/config.json") << R"({"name":"hub-)" << own << R"(","listen":")"
+                                                   << address_of(hub.callers) << kModuleSettings << '\n';
     }
 
-    // ---- Lines: each call is answered after 20 to 120 ms; half of the lines hang up, the others wait for
-    // the caller
+    // ---- Lines
+    // Each call is answered after 20 to 120 ms. Half of the lines then hang up, the others wait for the
+    // caller.
 
     static void report_free_lines(Hub& hub) {
         hub.line->send(
@@ -206,10 +207,10 @@
 
     void handle_message(Hub& hub, const Message& message) {
         const CallId call = message.call();
-        const auto known = counts_.final_answers.find(call);
-        if (known == counts_.final_answers.end()) return;
+        const auto entry = counts_.final_answers.find(call);
+        if (entry == counts_.final_answers.end()) return;
         if (message.type == MessageType::answer) {
-            ++known->second, ++counts_.answered, ++counts_.standing;
+            ++entry->second, ++counts_.answered, ++counts_.standing;
             connected_calls_[call] = true;
             after(3 * random_.draw_exponential(kMeanHoldingTime), [this, &hub, call] {
                 if (!connected_calls_.erase(call)) return;  // the line has hung up first
@@ -220,14 +221,14 @@
         } else if (message.type == MessageType::release && connected_calls_.erase(call)) {
             --counts_.standing, ++counts_.ended;
         } else if (message.type == MessageType::release) {
-            ++known->second, ++counts_.rejected;
+            ++entry->second, ++counts_.rejected;
         }
     }
 
     awaitable<void> connect_caller(Hub& hub) {
         tcp::socket socket(io_);
         const auto limit = std::chrono::steady_clock::now() + kStartTimeout;
-        while (co_await net::connect(socket, *net::to_endpoint(at(hub.callers)), milliseconds(500))) {
+        while (co_await net::connect(socket, *net::to_endpoint(address_of(hub.callers)), milliseconds(500))) {
             if (std::chrono::steady_clock::now() > limit)
                 throw std::runtime_error("a gatekeeper does not start");
             socket = tcp::socket(io_);
@@ -247,17 +248,18 @@
         net::asio::steady_timer timer(io_, time);
         co_await timer.async_wait(use_awaitable);
     }
-    void after(Duration time, std::function<void()> work) {
+    // Runs the task after that time.
+    void after(Duration time, std::function<void()> task) {
         auto timer = std::make_shared<net::asio::steady_timer>(io_, time);
-        timer->async_wait([timer, work = std::move(work)](const boost::system::error_code& stopped) {
-            if (!stopped) work();
+        timer->async_wait([timer, task = std::move(task)](const boost::system::error_code& stopped) {
+            if (!stopped) task();
         });
     }
 
     // Reads a metric of the group from the operators' address of the hub; -1 if there is no reply.
     awaitable<long> fetch_metric(const Hub& hub, std::string name) {
         tcp::socket socket(io_);
-        if (co_await net::connect(socket, *net::to_endpoint(at(hub.operators)), milliseconds(500)))
+        if (co_await net::connect(socket, *net::to_endpoint(address_of(hub.operators)), milliseconds(500)))
             co_return -1;
         const std::string request = "GET /metrics HTTP/1.1\r\nHost: gatekeeper\r\n\r\n";
         co_await net::asio::async_write(socket, net::asio::buffer(request),
@@ -271,10 +273,10 @@
 
     awaitable<void> run_calls() {
         for (Hub& hub : hubs_) co_await connect_caller(hub);
-        const auto ready = std::chrono::steady_clock::now() + kStartTimeout;
+        const auto limit = std::chrono::steady_clock::now() + kStartTimeout;
         for (Hub& hub : hubs_)
             while (co_await fetch_metric(hub, "up") != 1) {
-                if (std::chrono::steady_clock::now() > ready)
+                if (std::chrono::steady_clock::now() > limit)
                     throw std::runtime_error("the circuit group does not come into service");
                 co_await wait(kTickInterval);
             }
@@ -315,7 +317,7 @@
         std::uint64_t missing = 0, twice = 0;
         for (const auto& [call, answers] : counts_.final_answers)
             missing += answers == 0, twice += answers > 1;
-        const long lost =
+        const long glares_lost =
             co_await fetch_metric(hubs_[0], "glares_lost") + co_await fetch_metric(hubs_[1], "glares_lost");
         std::printf(
             "%llu calls: %llu answered, %llu rejected; %llu without a final answer, %llu with several; "
@@ -323,7 +325,7 @@
             static_cast<unsigned long long>(counts_.placed),
             static_cast<unsigned long long>(counts_.answered),
             static_cast<unsigned long long>(counts_.rejected), static_cast<unsigned long long>(missing),
-            static_cast<unsigned long long>(twice), lost, busy);
+            static_cast<unsigned long long>(twice), glares_lost, busy);
         result_ = missing == 0 && twice == 0 && busy == 0 ? 0 : 1;
     }
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -42,11 +42,12 @@
     glare->callback([settings, json, samples] {
         const GlareResult result = run_glare(*settings);
         if (*samples)
-            for (const auto& s : result.samples) std::printf("%.3f %.4f %.4f\n", s.hours, s.stuck, s.busy);
+            for (const auto& sample : result.samples)
+                std::printf("%.3f %.4f %.4f\n", sample.hours, sample.stuck, sample.busy);
         if (!*json && !*samples)
             std::printf("%llu calls, %llu answered; %llu glares; %llu circuits stuck at the end\n",
                         static_cast<unsigned long long>(result.calls),
-                        static_cast<unsigned long long>(result.stood),
+                        static_cast<unsigned long long>(result.answered),
                         static_cast<unsigned long long>(result.glares),
                         static_cast<unsigned long long>(result.stuck_circuits));
         std::printf("%s\n", to_json(*settings, result).c_str());
--- a/tests/trunk/lab_test.cpp
+++ b/tests/trunk/lab_test.cpp
@@ -16,7 +16,7 @@
             GlareSettings settings;
             settings.seed = seed, settings.hubs = hubs, settings.hours = hours;
             const GlareResult result = run_glare(settings);
-            CHECK(result.calls > 400 && result.stood > result.calls / 3 && result.glares > 5 &&
+            CHECK(result.calls > 400 && result.answered > result.calls / 3 && result.glares > 5 &&
                   result.crashes > 0 && result.audit_freed > 2);
             CHECK(result.answers_missing == 0 && result.answers_double == 0 && result.stuck_circuits == 0 &&
                   result.live_calls_cut == 0);
