--- a/include/nettlestall/call_control.hpp
+++ b/include/nettlestall/call_control.hpp
@@ -31,13 +31,18 @@
 // Which receivers discard repeats together.
 enum class RepeatScope { all, zone, exchange };
 
-// One service class.
+// One service class. The decisions do not use late_worth, aim_stretch, width (each call brings its own),
+// repeat_scope and repeat_window.
 struct ClassSettings {
     std::string name;
-    double worth = 1.0;        // value of a call that is answered within the aim
-    double late_worth = 0.0;   // share of the worth if the call is set up after the aim
-    Duration aim{};            // answer-time target
-    Duration deadline{};       // after it, a redial counts as a new call
+    double worth = 1.0;       // value of a call that is answered within the aim
+    double late_worth = 0.0;  // share of the worth if the call is set up after the aim
+    Duration aim{};           // answer-time target
+    // Counted from the first offer. After it an answer is worth nothing, and the call should have had its
+    // final answer. The decisions use it only for redials: a later call to the same number counts as a new
+    // call. When a call must have its answer follows from CallOffered::time_left. The program also derives
+    // from it how long a process that was told to stop may go on.
+    Duration deadline{};
     double aim_stretch = 0.0;  // the aim grows by this multiple of the call's expected work
     int width = 1;             // circuits on each trunk group
     Duration holding_time{};   // mean; zero if unknown
@@ -47,20 +52,21 @@
     std::vector<int> pools;    // pools that may serve it; empty: all
 };
 
-// One tenant.
+// One tenant. The decisions make no difference between tenants.
 struct TenantSettings {
     std::string name;
     double quota_per_second = 0.0;  // over all call controls; zero: no quota
-    double share = 0.0;             // of the calls
+    double share = 0.0;             // the tenant's part of all calls, from 0 to 1
 };
 
-// Costs in points of service, each for its full rate.
+// What each of these costs in points of service if it occurs at its full rate. Not used by the decisions.
 struct Prices {
     double late_failure = 0.0, wasted_work = 0.0, probe = 0.0, peer_message = 0.0, discovery = 0.0;
     double cross_zone = 0.0;
 };
 
-// All settings of one call control.
+// All settings of one call control. Several fields describe the network or what is allowed there, and are not
+// used by the decisions.
 struct Settings {
     int own_exchange = kNoExchange;  // kNoExchange where the far ends are pools
     int own_index = 0;               // of this call control among all of them
@@ -69,7 +75,8 @@
     bool uses_pools = false;  // pools of agents instead of a mesh: no transit
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    double over_share_worth = 1.0;  // factor on the worth of calls over a tenant's share
+    // Factor on the worth of a tenant's calls beyond its share; 1: no difference. Not used by the decisions.
+    double over_share_worth = 1.0;
     Duration min_event_interval{};  // events come no more often than this
 
     int max_attempts = 1;    // for each call
@@ -81,9 +88,9 @@
     bool list_on_request = false;        // the exchange list must be requested, it is not sent unasked
     Duration list_request_time_limit{};  // within which the list must be requested
     bool callers_mark_redials = false;
-    bool centre_advises_tandem =
-        false;                  // calls name the tandem with most free circuits that a centre last saw
-    bool reports_wait = false;  // a full processor names the time to wait
+    // Calls name the tandem that had the most free circuits when a centre last looked.
+    bool centre_advises_tandem = false;
+    bool reports_wait = false;          // a full processor names the time to wait
     Duration set_up_repeat_interval{};  // a waiting set-up is sent again after this; zero: never
     bool reports_load = false;          // in the ends of attempts
     bool reports_load_on_probe = false;
@@ -91,10 +98,12 @@
     Duration answer_grace{};        // slack after the deadline within which a final answer counts
     Duration drain_grace{};         // until set-ups to a draining or gone exchange must have stopped
     Duration release_wait{};        // after a time-out, reset or cancel, until the call may be sent again
-    double cold_start_share = 1.0;  // share of its capacity that a cold processor has at its start
+    double cold_start_share = 1.0;  // share of its capacity that a processor has at least when it starts
     Duration warm_up_time{};        // from the start of a processor until it has its full capacity
-    double overload_multiple = 0;  // a processor that is sent more than this multiple of its present capacity
-    Duration overload_span{};      // for this long fails from overload; zero: there is no such rule
+    // The overload rule: a processor fails if it is sent more than overload_multiple times its present
+    // capacity for overload_span. A span of zero: there is no such rule.
+    double overload_multiple = 0;
+    Duration overload_span{};
     Prices prices;
 };
 
@@ -109,7 +118,8 @@
     double throttle_share = -1;          // share of new set-ups that each sender is asked to hold back
 };
 
-// A caller offers a call. Its final answer is SetUp with a CallAnswered, Refuse or Fail.
+// A caller offers a call. It gets one final answer: a set-up that is answered (CallAnswered), Refuse or Fail.
+// An id that is still in use is ignored.
 struct CallOffered {
     CallId call{};
     int destination = kNoExchange;
@@ -136,7 +146,8 @@
 
 // How an attempt ended.
 enum class Outcome { ended, failed, rejected, timed_out, unreachable, reset, cancelled, not_sent };
-// Why; `rejected_by_tandem` and `far_processor_full` are rejections by a tandem, not by the destination.
+// Why it ended. Two of these come from a tandem and not from the destination: `rejected_by_tandem`, and
+// `far_processor_full` where the tandem found the processor behind it full.
 enum class Cause { none, no_circuit, rejected_by_tandem, far_processor_full, processor_full, number_busy };
 
 // An attempt or an answered call is over.
@@ -265,18 +276,23 @@
     CallControl(CallControl&&) noexcept;
     CallControl& operator=(CallControl&&) noexcept;
 
-    // Appends what is to be done to `actions`. `now` must not decrease from one event to the next. An event
-    // that names an unknown call or exchange has no effect; a call that cannot be served is refused.
+    // Appends what is to be done to `actions`. `now` must not decrease from one event to the next. Every
+    // event may also bring actions for calls that wait, since time has passed. Besides that, an event on an
+    // unknown call or exchange has no effect, with three exceptions: a call offered to an unknown
+    // destination, to the own exchange or with an invalid class or width is refused; the load in AttemptEnded
+    // counts even if its call is unknown; and for a known call, CallAnswered and AttemptEnded count for the
+    // exchange that the set-up was sent to, whichever exchange they name.
     void handle(Instant now, const Event& event, std::vector<Action>& actions);
 
-    // Whether these settings are for the same exchange and the same classes. Only then may they be applied in
-    // service, since the learned tables and the calls in hand refer to classes by position.
+    // Whether these settings are for the same exchange, the same kind of far ends (exchanges or pools) and
+    // classes of the same names in the same order. Only then may they be applied in service, since the
+    // learned tables and the calls in hand refer to classes by position.
     bool can_apply(const Settings& settings) const;
     // Replaces the settings; can_apply must hold for them.
     void apply(Settings settings);
 
-    // Exchanges in the list that get no new set-ups at present: those that drain, and those that were silent
-    // or full at their last set-up, which get a trial set-up now and then.
+    // Exchanges in the list that are avoided at present: those that drain get no new set-ups; those that were
+    // silent or full and have not answered since get a trial set-up now and then.
     std::size_t avoided_exchange_count() const;
 
     // Entries in all tables that grow with calls and exchanges, to test that they are bounded.
--- a/src/call_control.cpp
+++ b/src/call_control.cpp
@@ -1,9 +1,9 @@
 // The decision module. Its types, events and actions: include/nettlestall/call_control.hpp.
 //
 // A call's life: it is offered; the learned tables of its direct group accept or refuse it; it takes the
-// direct route if a circuit is free, else the tandem with the most free first-leg circuits above a reserve;
-// else it waits as long as what it lacks can still come by its aim, and is refused at once otherwise. What a
-// processor can handle is judged by how fast it answers.
+// direct route if enough circuits are free, else the tandem with the most free first-leg circuits above a
+// reserve; else it waits as long as what it lacks can still become available by its aim, and is refused at
+// once otherwise. What a processor can handle is judged by how fast it answers.
 
 #include "nettlestall/call_control.hpp"
 
@@ -35,15 +35,18 @@
 constexpr double kLearningRate = 0.2;  // share of each error learned; a group gets a few arrivals a second
 // Discount per arrival. A longer view is lost in the noise of cells that are seldom visited.
 constexpr double kDiscount = 0.6;
-constexpr double kExploration = 0.02;      // share of refused calls that fit which are accepted all the same
-constexpr double kMultiplierStep = 0.03;   // of (mean worth / mean group size), for a blocked share of 1
-constexpr double kBlockedShareAim = 0.02;  // share of calls refused for lack of any route that costs nothing
-constexpr Duration kMultiplierInterval = seconds(2);
+// Share of the calls that fit and would be refused, but are accepted so that the tables can learn.
+constexpr double kExploration = 0.02;
+// Of (mean worth / mean group size): change of the multiplier at an update, for a blocked share of 1.
+constexpr double kMultiplierStep = 0.03;
+// Share of calls refused for lack of any route up to which the multiplier does not rise.
+constexpr double kBlockedShareAim = 0.02;
+constexpr Duration kMultiplierInterval = seconds(2);  // between two updates
 
 // Routes.
 constexpr double kReserveShare = 0.08;     // of a group's circuits, kept from transit and tandem calls
 constexpr double kLateReserveShare = 0.5;  // of a group's circuits, kept from calls that can only be late
-// Of a group's circuits, kept from tandem calls as well if every one of them were rejected.
+// Of a group's circuits, kept from tandem calls on top of the reserve if every tandem call were rejected.
 constexpr double kMaxScarceShare = 0.5;
 constexpr double kRejectedWeight = 0.05;  // weight of the newest tandem call in the share of rejected ones
 // A tandem that rejected a call gets no more calls to that destination for this long, doubling with each
@@ -51,25 +54,25 @@
 constexpr Duration kTandemGapMin = seconds(2);
 constexpr Duration kTandemGapMax = seconds(8);
 
-// Exchange health: the window of pending set-ups to one processor is opened by prompt answers and closed by
-// late ones.
+// Exchange health: a window limits the pending set-ups to one processor. Prompt answers widen it and late
+// ones cut it. The excess response time is that above the least one.
 constexpr double kInitialWindow = 3.0;    // pending set-ups
 constexpr double kMaxWindow = 12.0;       // pending set-ups; more would only wait in the processor's queue
 constexpr double kWindowCutFactor = 0.6;  // share of the window that is kept after a sign of pressure
-// Of the shortest aim: a processor is calm below the first excess response time, and pressed above the
-// second.
+// Excess response times, of the shortest aim. Below the first a processor is calm, and the window widens;
+// above the second there is a sign of pressure, and the window is cut.
 constexpr double kCalmShare = 0.12;
 constexpr double kPressedShare = 0.3;
 // Share of an answer's excess by which the base response time rises, so that it follows a path that has
 // become longer, but not a processor that slows down with age.
 constexpr double kBaseDrift = 0.001;
-constexpr double kOwnExcessStep = 0.2;    // of the shortest aim: how far one answer moves the median excess
+constexpr double kOwnExcessStep = 0.2;    // of the shortest aim: most that one answer moves the median excess
 constexpr double kResponseWeight = 0.25;  // of the newest response time in the running mean
-constexpr double kResponseStep = 0.4;     // of the shortest aim: how far one answer moves that mean
+constexpr double kResponseStep = 0.4;     // of the shortest aim: most that one answer moves that mean
 constexpr double kExcessDecay = 0.5;      // share of the excess that is kept over a second without an answer
 constexpr Duration kTrialGapMin = milliseconds(500);  // until a silent processor is tried again, doubling
 constexpr Duration kTrialGapMax = seconds(2);
-// Both trial gaps are at most this many times as long where calls are sparse.
+// Where calls are sparse both trial gaps are longer, at most by this factor.
 constexpr double kMaxSparseness = 3.0;
 
 // Cold processors.
@@ -78,7 +81,8 @@
 constexpr double kWorkPerSetUp = 2.0;
 constexpr double kRateWeight = 0.1;   // of the newest second in the usual rate of set-ups
 constexpr double kDefaultRate = 1.0;  // set-ups a second of all senders, until a usual rate is known
-// Of the rule's span: unused credit that is kept. It is bounded so that idle senders cannot join in a burst.
+// Unused credit that is kept, in spans of the overload rule. It is bounded so that many idle senders cannot
+// send a burst together.
 constexpr double kMaxCreditSpans = 1.0;
 
 // Busy numbers.
@@ -87,7 +91,7 @@
 constexpr Duration kBusyNumberGapMax = seconds(4);
 
 // Redials.
-constexpr std::size_t kMaxRefusedNumbers = 4096;  // refused calls remembered, until their deadline
+constexpr std::size_t kMaxRefusedNumbers = 4096;  // refused calls remembered, until the longest deadline
 
 // How long after a gap has run out the next one starts at its minimum again.
 constexpr Duration kBackOffMemory = seconds(10);
@@ -127,26 +131,27 @@
     // A call that asks for the group.
     struct Arrival {
         int service_class;
-        int busy, size;
-        bool fits;
+        int busy, size;                  // circuits of the group
+        bool fits;                       // enough circuits are free for it
         double payoff;                   // if accepted: the worth minus the price of the busy circuits
         const std::vector<int>* counts;  // own calls on the group, by class
     };
 
-    // Whether the sum over the tables is for accepting the call. A tie accepts.
+    // Whether the call should be accepted: the sum over the tables is no lower for accepting than for
+    // refusing.
     bool accepts(const Arrival& arrival) const {
         return total(cells(arrival), 1) >= total(cells(arrival), 0);
     }
 
-    // Learns from the result of the last decision. The value of the next state is taken for one joint
-    // action of all tables: the one with the higher sum, and accepting only where the call fits.
+    // Learns from the result of the last decision. All tables take the value of the next state for the same
+    // action: the one with the higher sum, and accepting only where the call fits.
     void learn(const Arrival& arrival) {
-        const std::vector<std::size_t> now = cells(arrival);
-        const std::size_t best = arrival.fits && total(now, 1) >= total(now, 0) ? 1 : 0;
+        const std::vector<std::size_t> next = cells(arrival);
+        const std::size_t best = arrival.fits && total(next, 1) >= total(next, 0) ? 1 : 0;
         for (std::size_t k = 0; last_ && k < tables_.size(); ++k) {
             const double paid = static_cast<int>(k) == last_->service_class ? last_->payoff : 0.0;
             double& cell = tables_[k][last_->cells[k]][last_->action];
-            cell += kLearningRate * (paid + kDiscount * tables_[k][now[k]][best] - cell);
+            cell += kLearningRate * (paid + kDiscount * tables_[k][next[k]][best] - cell);
         }
     }
 
@@ -157,7 +162,7 @@
     }
 
    private:
-    using Table = std::vector<std::array<double, 2>>;
+    using Table = std::vector<std::array<double, 2>>;  // by cell: the value of refusing and of accepting
     // The last decision.
     struct Last {
         std::vector<std::size_t> cells;
@@ -167,23 +172,26 @@
     };
 
     // The cell of each table that the arrival falls into.
-    std::vector<std::size_t> cells(const Arrival& a) const {
-        const int level = a.fits ? std::min(kBusyLevels - 2, a.busy * (kBusyLevels - 1) / std::max(1, a.size))
-                                 : kBusyLevels - 1;
-        std::vector<std::size_t> at(tables_.size());
-        for (std::size_t k = 0; k < at.size(); ++k) {
-            const int count = (*a.counts)[k];
-            const int usual = std::max(1, a.size / static_cast<int>(2 * tables_.size()));
-            const int many = count == 0 ? 0 : count <= usual ? 1 : kCountLevels - 1;
-            at[k] = static_cast<std::size_t>((a.service_class * kBusyLevels + level) * kCountLevels + many);
+    std::vector<std::size_t> cells(const Arrival& arrival) const {
+        const int busy_level =
+            arrival.fits
+                ? std::min(kBusyLevels - 2, arrival.busy * (kBusyLevels - 1) / std::max(1, arrival.size))
+                : kBusyLevels - 1;
+        std::vector<std::size_t> indices(tables_.size());
+        for (std::size_t k = 0; k < indices.size(); ++k) {
+            const int count = (*arrival.counts)[k];
+            const int usual = std::max(1, arrival.size / static_cast<int>(2 * tables_.size()));
+            const int count_level = count == 0 ? 0 : count <= usual ? 1 : kCountLevels - 1;
+            indices[k] = static_cast<std::size_t>(
+                (arrival.service_class * kBusyLevels + busy_level) * kCountLevels + count_level);
         }
-        return at;
+        return indices;
     }
 
-    // The sum over all tables of the value of an action.
-    double total(const std::vector<std::size_t>& at, std::size_t action) const {
+    // The sum over all tables of the value of an action (0: refuse, 1: accept) in the given cells.
+    double total(const std::vector<std::size_t>& indices, std::size_t action) const {
         double sum = 0;
-        for (std::size_t k = 0; k < tables_.size(); ++k) sum += tables_[k][at[k]][action];
+        for (std::size_t k = 0; k < tables_.size(); ++k) sum += tables_[k][indices[k]][action];
         return sum;
     }
 
@@ -193,15 +201,17 @@
 
 // ==== Exchange health ==============================================================================
 
-// The wait before something that refused is tried again. It doubles with each further refusal.
+// The wait before what refused or was silent is tried again. It doubles with each further refusal.
 struct BackOff {
     Instant until{};
     Duration gap{};
-    // A further refusal.
+    // Starts the wait after a refusal: with the gap `first`, or twice the last gap but no more than
+    // `longest`.
     void extend(Instant now, Duration first, Duration longest) {
         gap = gap == Duration::zero() ? first : std::min(longest, gap * 2);
         until = now + gap;
     }
+    // Whether there was a refusal since the last reset, even if the wait is over.
     bool is_active() const { return gap > Duration::zero(); }
 };
 
@@ -230,8 +240,8 @@
     bool never_tandem = false;
 
     Window window{0, kInitialWindow, kMaxWindow};
-    double response_time = 0, base_response_time = -1;  // seconds: running mean, and the least seen
-    BackOff trial_back_off;                             // until the next trial set-up, since its last answer
+    double response_time = 0, base_response_time = -1;  // seconds: running mean; least seen, negative: none
+    BackOff trial_back_off;                             // of trial set-ups while it does not answer
     double credit = 0;                                  // set-ups that may be sent now, while it is cold
     Instant credited_until{};                           // the moment up to which credit was added
     int answers = 0;                                    // in the current second
@@ -245,20 +255,20 @@
 // The circuits between here and one exchange, or the agents of one pool.
 struct Group {
     explicit Group(std::size_t classes) : admission(classes), own_calls(classes, 0) {}
-    bool known = false;
-    int free = 0, size = 0;
+    bool known = false;      // a load report gave the number of circuits
+    int free = 0, size = 0;  // circuits
     Admission admission;
     std::vector<int> own_calls;  // calls of this call control on the group, by class
-    // Seconds: the least response time of its machines, the measure for a new one.
+    // Seconds: the base response time of its machine that answered last; a new machine is measured by it.
     double base_response_time = -1;
     int last_tandem = kNoExchange;   // the tandem over which a call was last answered there
     Exchange* in_service = nullptr;  // the machine at the far end, if one is ready
     bool has_free(int width) const { return known && free >= width; }
-    // Whether the group has the call's width free, and at least one free circuit more than those kept from
-    // calls of its kind; the call may then use the kept ones too. If the width were added to the reserve of
-    // at least one circuit, a wide call could never enter a small group, since the sum is more than the
-    // whole group there. This holds at any group size and after lost circuits. Known limit: where wide
-    // calls are many and worth little, each may leave a group without its reserve.
+    // Whether the group has the call's width free, and at least one free circuit more than the `kept` ones,
+    // which are held back from calls of its kind; the call may then use these too. If the width were added to
+    // the reserve of at least one circuit, a wide call could never enter a small group, since the sum is more
+    // than the whole group there. This holds at any group size and after lost circuits. Known limit: where
+    // wide calls are many and worth little, each may leave a group without its reserve.
     bool has_free_above(int kept, int width) const { return has_free(std::max(width, kept + 1)); }
 };
 
@@ -272,18 +282,21 @@
     CallId id;
     Phase phase = Phase::waiting;
     int service_class = 0, destination = kNoExchange, width = 1, advised = kNoExchange;
+    // may_have_run: an attempt may have run at the far end. held_for_number: its number was found busy.
     bool transit = false, may_have_run = false, tandem_tried = false, held_for_number = false;
     bool faulted = false;     // an attempt was answered with a failure
     bool needs_scan = false;  // look at it in the next scan in any case: it has just begun to wait
     bool overdue = false;     // the pending attempt has had no answer for the shortest aim
-    double value = 1.0;       // if it is answered in time
+    double value = 1.0;       // its worth if it is answered within the aim
+    // first_offered: of a redial, when the call was first offered. answer_by: when it must have its final
+    // answer. not_before: when it may be sent again.
     Instant first_offered{}, aim_ends{}, answer_by{}, not_before{};
     std::string number;
     int attempts = 0;
     ExchangeId sent_to;            // where the pending attempt or the standing call was sent
     int held_group = kNoExchange;  // the trunk group from here on which it holds circuits
     Instant sent{};
-    std::uint64_t order = 0;
+    std::uint64_t order = 0;  // of the offers
 };
 
 }  // namespace
@@ -309,8 +322,8 @@
 
     std::size_t avoided_exchange_count() const {
         return static_cast<std::size_t>(
-            std::count_if(exchanges_.begin(), exchanges_.end(), [](const auto& at) {
-                const Exchange& exchange = at.second;
+            std::count_if(exchanges_.begin(), exchanges_.end(), [](const auto& entry) {
+                const Exchange& exchange = entry.second;
                 return exchange.state == ExchangeState::draining ||
                        (exchange.state == ExchangeState::ready && exchange.trial_back_off.is_active());
             }));
@@ -399,8 +412,8 @@
         return now_ + from_seconds(response_time) > call.aim_ends;
     }
 
-    // Sends the call if it has a route now and returns whether it did. `behind`: another call waits for
-    // circuits of the direct group.
+    // Sends the call if it has a route now and returns whether it did. `behind`: another call, which is
+    // served before this one, waits for circuits of the direct group.
     bool try_route(Call& call, bool behind = false) {
         if (call.attempts >= settings_.max_attempts || now_ < call.not_before || now_ >= call.answer_by)
             return false;
@@ -408,8 +421,9 @@
         Exchange* direct = in_service(call.destination);
         if (!direct && !settings_.uses_pools) return false;
         Group& direct_group = group_of(call.destination);
-        // After the first failure of an attempt the tandem is tried, if possible: calls used up all their
-        // attempts within a quarter of a second at a processor that answers most set-ups with a failure.
+        // After an attempt was answered with a failure the tandem is tried once, if possible. Otherwise calls
+        // use up all their attempts within a quarter of a second at a processor that answers most set-ups
+        // with a failure.
         // Known limit: where the call itself is at fault, it then occupies three processors.
         const bool tandem_first = call.faulted && !call.transit && !call.tandem_tried &&
                                   !settings_.uses_pools && direct && !is_late(call) && may_send(*direct) &&
@@ -461,10 +475,10 @@
         return best;
     }
 
-    // When a set-up that is sent now is cancelled. Where waiting set-ups are repeated, one that can only be
-    // late is cancelled at the aim: slow processors spent their time on repeats for calls that were already
-    // late, as in a stampede or where far ends hang. Known limit: calls that are worth much when late are
-    // cancelled too.
+    // When a set-up that is sent now is cancelled. Where waiting set-ups are repeated, this is the aim, after
+    // which the answer can only be late: slow processors spent their time on repeats for calls that were
+    // already late, as in a stampede or where far ends hang. Known limit: calls that are worth much when late
+    // are cancelled too.
     Instant cancel_time(const Call& call) const {
         if (settings_.set_up_repeat_interval <= Duration::zero() || is_late(call)) return call.answer_by;
         return std::min(call.answer_by, call.aim_ends);
@@ -491,7 +505,8 @@
 
     // ---- Exchange health ----------------------------------------------------------------------------
 
-    // Whether a processor answers slowly or not at all, so that it gets no late and no tandem calls.
+    // Whether a processor is no longer calm: it answers slowly or not at all. It then gets no late calls and
+    // no tandem calls.
     bool is_pressed(const Exchange& exchange) const {
         return exchange.trial_back_off.is_active() || exchange.excess() > kCalmShare * shortest_aim_;
     }
@@ -586,8 +601,8 @@
     // A set-up had no answer, or a full processor rejected it and may have asked for a wait.
     void note_no_answer(Exchange& exchange, Instant sent, Duration requested_wait = {}) {
         // The gap, too, grows only once for each batch of set-ups.
-        const bool news = !exchange.trial_back_off.is_active() || sent >= exchange.window.last_cut;
-        if (news) {
+        const bool is_new = !exchange.trial_back_off.is_active() || sent >= exchange.window.last_cut;
+        if (is_new) {
             const double gap_factor = sparseness();
             exchange.trial_back_off.extend(now_, from_seconds(gap_factor * to_seconds(kTrialGapMin)),
                                            from_seconds(gap_factor * to_seconds(kTrialGapMax)));
@@ -598,24 +613,24 @@
 
     // ---- Cold budget ----------------------------------------------------------------------------------
 
-    // Whether the processor started so recently that it has not its full capacity yet.
+    // Whether the processor started so recently that it does not have its full capacity yet.
     bool is_cold(const Exchange& exchange) const {
         return settings_.overload_span > Duration::zero() && exchange.started > Instant{} &&
                now_ - exchange.started < settings_.warm_up_time;
     }
 
-    // The usual rate of set-ups to one processor from here, per second: a mean over the warm ones.
+    // The usual rate of set-ups from here to one processor, per second: a mean over the warm processors.
     double usual_rate() const {
         return warm_rates_.first > 0.0 ? warm_rates_.first / warm_rates_.second
                                        : kDefaultRate / settings_.call_control_count;
     }
 
-    // Seconds until a set-up may be sent to a cold processor; zero: now. It keeps all call controls
-    // together from overloading it: each accrues its share of what the rule allows, as a fraction, from a
-    // starting point of its own; what stays unused for more than a span is lost, so that many idle senders
-    // cannot join in a burst. The same holds when many processors start at once and in stampedes of
-    // redials. Known limit: where the processor is warm long before it must be, calls wait for credit that
-    // they do not need.
+    // Seconds until a set-up may be sent to the processor; zero: now, always for a warm one. The credit keeps
+    // all call controls together from overloading a cold processor: each accrues its share of what the rule
+    // allows, in fractions of a set-up, from a random start; what stays unused for more than a span is lost,
+    // so that many idle senders cannot send a burst together. The same holds when many processors start at
+    // once and in stampedes of redials. Known limit: where the processor is warm long before it must be,
+    // calls wait for credit that they do not need.
     double cold_credit_missing(Exchange& exchange) {
         if (!is_cold(exchange)) return 0.0;
         const double passed = to_seconds(now_ - exchange.credited_until);
@@ -642,7 +657,7 @@
     // The order of waiting calls: those held for a busy number last, then by worth per circuit, then by age.
     Key key(const Call& call) const { return {call.held_for_number, -call.value / call.width, call.order}; }
 
-    // The call waits for a route.
+    // Lets the call wait for a route; the next scan looks at it.
     void start_waiting(Call& call) {
         call.phase = Phase::waiting;
         call.needs_scan = true;
@@ -650,10 +665,10 @@
         earliest_end_ = std::min(earliest_end_, call.answer_by);
     }
 
-    // Takes a call to the number of a refused one for its redial: the aim runs from the first attempt, and
-    // what is left of it is often nothing. This works whether callers mark redials or not. Known limit:
-    // where many callers dial one number, a new one among them may be taken for late; such calls seldom
-    // find a free line.
+    // Treats a call to the number of a refused one as its redial, until the deadline of its class: the aim
+    // runs from the first offer, and what is left of it is often nothing. This works whether callers mark
+    // redials or not. Known limit: where many callers dial one number, a new call among them may be treated
+    // as late; such calls seldom find a free line.
     void recognise_redial(Call& call, Duration deadline) {
         const auto at = refused_numbers_.find(call.number);
         if (at == refused_numbers_.end()) return;
@@ -667,31 +682,33 @@
             refused_numbers_.try_emplace(call.number, call.first_offered);
     }
 
-    // The first moment at which a route may be open, as far as known: of the processors that it needs or,
-    // with pools, may choose from; of its number; of the release. Instant::max() if none is in service.
+    // The first moment at which the call may have a route, as far as known: a set-up may be sent to the
+    // destination's processor (with pools: to one that may serve the call), a busy number may be tried again,
+    // and the release of the last attempt is over. Instant::max() if no such processor is in service.
     Instant earliest_route(const Call& call) {
-        Instant chance = Instant::max();
+        Instant earliest = Instant::max();
         if (Exchange* direct = in_service(call.destination); direct && has_skill(call, call.destination))
-            chance = earliest_send(*direct);
-        if (settings_.uses_pools && chance > now_)
+            earliest = earliest_send(*direct);
+        if (settings_.uses_pools && earliest > now_)
             for (auto& [number, group] : groups_)
                 if (group.in_service && has_skill(call, number))
-                    chance = std::min(chance, earliest_send(*group.in_service));
+                    earliest = std::min(earliest, earliest_send(*group.in_service));
         const auto busy = busy_numbers_.find(call.number);
-        if (busy != busy_numbers_.end()) chance = std::max(chance, busy->second.until);
-        return std::max({chance, call.not_before, now_});
+        if (busy != busy_numbers_.end()) earliest = std::max(earliest, busy->second.until);
+        return std::max({earliest, call.not_before, now_});
     }
 
-    // Seconds until `width` circuits of a group become free, by the mean holding time; these include
-    // circuits for calls ahead.
+    // Seconds until `width` circuits of a group become free, by the mean holding time. Calls ahead may take
+    // these circuits first.
     double time_to_free(const Group& group, int width) const {
         return mean_holding_time_ * width / std::max(1, group.size - group.free);
     }
 
-    // Whether what the call waits for can still come by its aim: circuits, a processor, a number, the
-    // release. Otherwise calls would wait only to be refused later or answered late, while their callers
-    // could have tried again. This holds for any trouble that closes all routes: exchanges gone, silent or
-    // cold. Known limits: a stampede, as those refused dial again, and late calls that are worth much.
+    // Whether what the call waits for can still become available by its aim: circuits, a processor, a number,
+    // the end of the release. Otherwise calls would wait only to be refused later or answered late, while
+    // their callers could have tried again. This applies to any fault that closes all routes: exchanges gone,
+    // silent or cold. Known limits: a stampede, as refused callers dial again, and calls that are worth much
+    // even when late.
     bool can_wait(const Call& call) { return !is_late(call) && earliest_route(call) < call.aim_ends; }
 
     // Seconds until an excess response time has decayed to calm, if no answer comes.
@@ -700,8 +717,8 @@
         return excess > calm ? std::log(calm / excess) / std::log(kExcessDecay) : 0.0;
     }
 
-    // How long the caller should wait before dialling again: until what was missing may be available, be it
-    // the route as far as known, circuits, or calm processors here and at the far end.
+    // How long the caller should wait before dialling again, at most max_pause: until a route may be open,
+    // circuits may be free, and the processors here and at the far end may be calm.
     Duration advised_pause(const Call& call) {
         const Instant earliest = earliest_route(call);
         if (earliest == Instant::max()) return settings_.max_pause;
@@ -715,6 +732,7 @@
     }
 
     // Gives the call its final answer: refused, or failed where it may have run and must not be repeated.
+    // `no_route`: it counts as refused for lack of any route, and a pause may be advised.
     void refuse(Call& call, bool no_route) {
         if (!call.transit) ++decided_calls_;
         if (no_route && !call.transit) ++blocked_calls_;
@@ -730,39 +748,40 @@
         calls_.erase(CallId(call.id));
     }
 
-    // The call no longer counts on its group; the number of free circuits comes with load reports.
+    // The call no longer counts among the own calls of its group. The number of free circuits does not change
+    // here, since load reports bring it.
     void free_circuits(Call& call) {
         if (call.held_group == kNoExchange) return;
         --group_of(call.held_group).own_calls[static_cast<std::size_t>(call.service_class)];
         call.held_group = kNoExchange;
     }
 
-    // Handles the waiting calls, those worth most per circuit first. A call that waits for circuits of its
-    // direct group keeps those behind it from taking them. Between two full scans only the calls are looked
+    // Sends or refuses waiting calls, those worth most per circuit first. While one waits for circuits of its
+    // direct group, the calls behind it cannot take them. Between two full scans only the calls are looked
     // at for which something changed: those for the far end that the event reported on, or that could use
     // it as a tandem.
     void serve_waiting() {
         if (waiting_.empty()) return;
-        const bool all = now_ >= next_scan_ || now_ >= earliest_end_;
+        const bool full_scan = now_ >= next_scan_ || now_ >= earliest_end_;
         const auto changed = groups_.find(changed_exchange_);
-        const bool tandem = changed != groups_.end() && changed->second.in_service &&
-                            changed->second.has_free_above(reserve(changed->second), 1);
-        if (all) next_scan_ = now_ + kScanInterval, earliest_end_ = Instant::max();
-        std::set<int> kept;  // destinations whose circuits are kept for a call that waits
+        const bool new_tandem = changed != groups_.end() && changed->second.in_service &&
+                                changed->second.has_free_above(reserve(changed->second), 1);
+        if (full_scan) next_scan_ = now_ + kScanInterval, earliest_end_ = Instant::max();
+        std::set<int> kept_destinations;  // whose circuits are kept for a call that waits
         std::vector<Call*> order;
         for (const auto& [k, id] : waiting_) order.push_back(&calls_.at(id));
         for (Call* call : order) {
-            if (all) earliest_end_ = std::min(earliest_end_, call->answer_by);
-            const bool look = all || call->needs_scan || call->destination == changed_exchange_ ||
-                              (tandem && !call->tandem_tried);
+            if (full_scan) earliest_end_ = std::min(earliest_end_, call->answer_by);
+            const bool look = full_scan || call->needs_scan || call->destination == changed_exchange_ ||
+                              (new_tandem && !call->tandem_tried);
             call->needs_scan = false;
             const bool busy = is_number_busy(call->number);
-            const bool behind = kept.count(call->destination) > 0;
+            const bool behind = kept_destinations.count(call->destination) > 0;
             if (look && !busy && now_ < call->answer_by && try_route(*call, behind)) continue;
             if (now_ >= call->answer_by || (look && !can_wait(*call))) {
                 refuse(*call, true);
             } else if (!busy && !is_late(*call) && group_of(call->destination).size > 0) {
-                kept.insert(call->destination);
+                kept_destinations.insert(call->destination);
             }
         }
     }
@@ -776,10 +795,12 @@
         actions_->push_back(SetTimer{timer_at_ - now_, 1});
     }
 
-    // Drops back-offs that ended so long ago that a further refusal no longer doubles them.
-    template <class Refusals>
-    void forget_expired(Refusals& refusals) {
-        std::erase_if(refusals, [this](const auto& at) { return now_ > at.second.until + kBackOffMemory; });
+    // Drops back-offs that ended more than kBackOffMemory ago: a further refusal starts at the least gap
+    // again.
+    template <class BackOffs>
+    void forget_expired(BackOffs& back_offs) {
+        std::erase_if(back_offs,
+                      [this](const auto& entry) { return now_ > entry.second.until + kBackOffMemory; });
     }
 
     // Whether the number was found busy and is not to be tried yet.
@@ -799,15 +820,15 @@
         busy_numbers_[number].extend(now_, kBusyNumberGapMin, kBusyNumberGapMax);
     }
 
-    // Updates what depends on time alone. The multiplier λ rises while calls are refused for lack of any
-    // route and falls otherwise, never below zero.
+    // Updates what depends on time alone. The multiplier λ rises while more than kBlockedShareAim of the
+    // calls are refused for lack of any route, and falls otherwise, never below zero.
     void advance_clock() {
         if (next_multiplier_update_ == Instant{})
             next_multiplier_update_ = now_ + kMultiplierInterval, next_second_ = now_ + seconds(1);
         while (now_ >= next_second_) {
             next_second_ += seconds(1);
             std::pair<double, int> warm{0.0, 0};  // answers, processors
-            const double sparse = sparseness();
+            const double gap_factor = sparseness();
             for (auto& [id, exchange] : exchanges_) {
                 if (exchange.number != settings_.own_exchange && exchange.state == ExchangeState::ready &&
                     !is_cold(exchange))
@@ -816,17 +837,17 @@
                 // that could correct it.
                 if (exchange.answers == 0 && exchange.base_response_time >= 0)
                     exchange.response_time = exchange.base_response_time +
-                                             std::pow(kExcessDecay, 1.0 / sparse) * exchange.excess();
+                                             std::pow(kExcessDecay, 1.0 / gap_factor) * exchange.excess();
                 exchange.answers = 0;
             }
             own_excess_ *= kExcessDecay;  // few answers come through a closed window to correct it
             forget_expired(tandem_back_offs_);
             forget_expired(busy_numbers_);
             std::erase_if(refused_numbers_,
-                          [this](const auto& at) { return now_ - at.second >= longest_deadline_; });
+                          [this](const auto& entry) { return now_ - entry.second >= longest_deadline_; });
             // Both have the same weight, so that their ratio is right from the first second on.
-            const double share = warm.second > 0 ? warm.first / warm.second : 0.0;
-            warm_rates_.first += kRateWeight * (share - warm_rates_.first);
+            const double rate = warm.second > 0 ? warm.first / warm.second : 0.0;
+            warm_rates_.first += kRateWeight * (rate - warm_rates_.first);
             warm_rates_.second += kRateWeight * ((warm.second > 0 ? 1.0 : 0.0) - warm_rates_.second);
         }
         while (now_ >= next_multiplier_update_) {
@@ -835,10 +856,11 @@
             int known = 0;
             for (const auto& [number, group] : groups_)
                 if (group.known && group.size > 0) sizes += group.size, ++known;
-            const double share =
+            const double blocked_share =
                 decided_calls_ > 0 ? static_cast<double>(blocked_calls_) / decided_calls_ : 0.0;
             const double unit = known > 0 ? mean_worth_ * known / sizes : 0.0;
-            multiplier_ = std::max(0.0, multiplier_ + kMultiplierStep * unit * (share - kBlockedShareAim));
+            multiplier_ =
+                std::max(0.0, multiplier_ + kMultiplierStep * unit * (blocked_share - kBlockedShareAim));
             decided_calls_ = blocked_calls_ = 0;
         }
     }
@@ -847,7 +869,7 @@
 
     void on(const CallOffered& event) {
         if (calls_.count(event.call) || abandoned_.count(event.call)) return;
-        // A call that nothing here can serve still gets its one final answer.
+        // A call that cannot be served here still gets its one final answer.
         if (event.service_class < 0 ||
             static_cast<std::size_t>(event.service_class) >= settings_.classes.size() || event.width < 1 ||
             event.destination == settings_.own_exchange || !groups_.count(event.destination)) {
@@ -892,9 +914,9 @@
     }
 
     void on(const CallAnswered& event) {
-        const auto at = calls_.find(event.call);
-        if (at == calls_.end() || at->second.phase != Phase::sent) return;
-        Call& call = at->second;
+        const auto found = calls_.find(event.call);
+        if (found == calls_.end() || found->second.phase != Phase::sent) return;
+        Call& call = found->second;
         call.phase = Phase::standing;
         leave_windows(call);
         if (!call.transit) ++decided_calls_;
@@ -911,8 +933,8 @@
 
     void on(const AttemptEnded& event) {
         update_load(event.exchange, event.load);
-        const auto at = calls_.find(event.call);
-        if (at == calls_.end()) {
+        const auto found = calls_.find(event.call);
+        if (found == calls_.end()) {
             if (const auto lost = abandoned_.find(event.call); lost != abandoned_.end()) {
                 handle_attempt_end(lost->second, event);
                 free_circuits(lost->second);
@@ -920,13 +942,13 @@
             }
             return;
         }
-        Call& call = at->second;
+        Call& call = found->second;
         if (call.phase == Phase::waiting) return;
         const int tandem = call.held_group == call.destination ? kNoExchange : call.held_group;
         if (call.phase == Phase::sent) handle_attempt_end(call, event);
         free_circuits(call);
         if (event.final) {
-            calls_.erase(at);
+            calls_.erase(found);
             return;
         }
         const bool may_run = event.outcome == Outcome::timed_out || event.outcome == Outcome::reset ||
@@ -944,16 +966,17 @@
             note_busy_number(call.number);
             call.held_for_number = true;
         }
-        // A full second leg cannot be seen from here, and the freest first leg would be tried again and
-        // again; the same holds for a tandem that rejects calls for another reason. Known limit: the second
-        // leg may empty at once; the gap is short for that reason.
+        // The tandem gets no more calls to this destination for a while: a full second leg cannot be seen
+        // from here, and the freest first leg would be tried again and again. The same holds for a tandem
+        // that rejects calls for another reason. Known limit: the second leg may empty at once; the gap is
+        // short for that reason.
         if (event.outcome == Outcome::rejected && event.cause == Cause::rejected_by_tandem &&
             tandem != kNoExchange) {
             rejected_share_ += kRejectedWeight * (1.0 - rejected_share_);
             tandem_back_offs_[{tandem, call.destination}].extend(now_, kTandemGapMin, kTandemGapMax);
         }
-        // While the own processor is down nothing reports when it is back, and waiting would use up the
-        // attempts.
+        // The own processor is down: nothing reports when it is back, and the call would use up its attempts
+        // if it waited.
         if (event.outcome == Outcome::not_sent && event.cause == Cause::processor_full)
             return refuse(call, true);
         if (event.outcome == Outcome::not_sent)
@@ -984,20 +1007,21 @@
         }
     }
 
+    // A call with a pending attempt is kept until that attempt ends, since it counts in the windows.
     void on(const CallAbandoned& event) {
-        const auto at = calls_.find(event.call);
-        if (at == calls_.end()) return;
-        waiting_.erase(key(at->second));
-        if (at->second.phase != Phase::standing) remember_refused(at->second);
-        if (at->second.phase == Phase::sent) {
-            abandoned_[event.call] = at->second;
+        const auto found = calls_.find(event.call);
+        if (found == calls_.end()) return;
+        waiting_.erase(key(found->second));
+        if (found->second.phase != Phase::standing) remember_refused(found->second);
+        if (found->second.phase == Phase::sent) {
+            abandoned_[event.call] = found->second;
         } else {
-            free_circuits(at->second);
+            free_circuits(found->second);
         }
-        calls_.erase(at);
+        calls_.erase(found);
     }
 
-    // Takes over the free circuits that an exchange reports.
+    // Applies the group size and the free circuits that an exchange reports.
     void update_load(const ExchangeId& id, const LoadReport& load) {
         const auto at = exchanges_.find(id);
         if (at == exchanges_.end()) return;
@@ -1037,16 +1061,17 @@
             exchange.started = entry.started;
             exchange.never_tandem = entry.never_tandem;
         }
-        std::erase_if(exchanges_, [](const auto& at) {
-            return at.second.state == ExchangeState::gone && at.second.window.pending <= 0;
+        std::erase_if(exchanges_, [](const auto& entry) {
+            return entry.second.state == ExchangeState::gone && entry.second.window.pending <= 0;
         });
         update_in_service();
         if (settings_.list_on_request && (event.kind == ListKind::cached || event.kind == ListKind::failed))
             actions_->push_back(SetTimer{event.kind == ListKind::failed ? kTrialGapMin : Duration(1), 2});
     }
 
-    void on(const PeerMessage&) {}  // no use is made of these
+    void on(const PeerMessage&) {}  // not used
 
+    // Token 2 is for the list. Token 1, of arm_timer, needs nothing: every event serves the waiting calls.
     void on(const TimerExpired& event) {
         if (event.token == 2) actions_->push_back(SubscribeList{true});
     }
@@ -1060,20 +1085,20 @@
     std::map<ExchangeId, Exchange> exchanges_;
     std::map<int, Group> groups_;  // by the number of the exchange or pool
     std::map<CallId, Call> calls_;
-    std::map<CallId, Call> abandoned_;  // abandoned with a pending attempt
-    std::map<Key, CallId> waiting_;
+    std::map<CallId, Call> abandoned_;                       // abandoned with a pending attempt
+    std::map<Key, CallId> waiting_;                          // in the order in which they are served
     std::deque<std::pair<Instant, CallId>> recent_set_ups_;  // of the last shortest aim, oldest first
     std::map<std::string, BackOff> busy_numbers_;
     std::map<std::string, Instant> refused_numbers_;  // by number: when the refused call was first offered
     std::map<std::pair<int, int>, BackOff> tandem_back_offs_;  // by tandem and destination
     std::uint64_t last_order_ = 0;
     int changed_exchange_ = kNoExchange;  // the exchange that the current event reported on
-    // Of the next full scan of the waiting calls; of the first end among them.
+    // The next full scan of the waiting calls, and the first moment at which one must have its final answer.
     Instant next_scan_{}, earliest_end_ = Instant::max();
-    Instant timer_at_{};
+    Instant timer_at_{};  // when the timer that was set last expires
     // Limits all pending set-ups from here. Where the own processor is slow or cold, every set-up waits in
-    // its queue, but the windows per far end, of which there are many, each open by at least one, do not
-    // close on that. It also limits a stampede that presses all far ends. Known limit: it holds back all
+    // its queue, and the windows per far end do not prevent that: there are many, and each lets at least one
+    // set-up through. It also limits a stampede that presses all far ends. Known limit: it holds back all
     // calls where most far ends are slow and a few are not.
     Window own_window_{0, kMaxWindow, 2.0 * kMaxWindow};
     double rejected_share_ = 0.0;  // share of tandem calls that were rejected
@@ -1081,7 +1106,8 @@
     // Usual set-ups a second to a warm processor, and the weight of that mean.
     std::pair<double, double> warm_rates_{0.0, 0.0};
     double multiplier_ = 0.0;  // λ, worth per busy circuit
-    // Own calls decided in this interval; those of them refused for lack of any route.
+    // Calls, without those in transit, that were answered or refused since the last update of the multiplier,
+    // and those of them that were refused for lack of any route.
     int decided_calls_ = 0, blocked_calls_ = 0;
     Instant next_multiplier_update_{}, next_second_{};
 };
