--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -14,19 +14,20 @@
 using namespace json;
 using Json = json::Value;
 
-// The wire carries times in seconds.
+// The simulator's times are in seconds.
 double to_seconds(Duration time) {
     return static_cast<double>(time.count()) / 1e6;
 }
 
-// The index of a name in the settings: events refer to classes and tenants by name. Throws BadInput.
+// The index of a class or tenant in the settings; events refer to these by name. `what` is the key, for the
+// error text. Throws BadInput.
 int index_of(const std::vector<std::string>& names, const std::string& name, const char* what) {
     for (std::size_t i = 0; i < names.size(); ++i)
         if (names[i] == name) return static_cast<int>(i);
     throw_bad_input(std::string("unknown ") + what + " '" + name + "'");
 }
 
-// The load in the event's 'usage'; what it lacks is not reported.
+// The load in the event's 'usage'. Fields that it lacks stay negative: not reported.
 LoadReport read_load(const Json& event) {
     LoadReport load;
     const Json& usage = get_container_or_empty(event, "usage", false);
@@ -86,6 +87,7 @@
     return bytes;
 }
 
+// Two hex digits for each byte, in lower case.
 std::string write_hex(const std::vector<std::uint8_t>& bytes) {
     std::string text;
     for (const std::uint8_t byte : bytes)
@@ -108,15 +110,17 @@
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
+// Writes a member with a string value.
 void write_text(JsonWriter& out, const char* key, const std::string& text) {
     out.Key(key);
     out.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
-// Writes an action as members of the JSON object that was begun.
+// Writes an action as members of the JSON object that is open in `out`.
 struct ActionWriter {
     JsonWriter& out;
 
+    // Writes the name of the command; the second form also writes a member with a string value.
     void command(const char* name) const {
         out.Key("cmd");
         out.String(name);
@@ -181,7 +185,7 @@
         for (const auto& t : settings.tenants) tenant_names.push_back(t.name);
     }
 
-    // The event of a command. Throws BadInput.
+    // The event that a command stands for; `event` is its JSON object. Throws BadInput.
     Event read_event(const std::string& cmd, const Json& event) const {
         if (cmd == "demand") {
             CallOffered e;
@@ -219,7 +223,7 @@
             const int reason = get_or(event, "reason", 0);
             if (reason == 18) {
                 e.cause = Cause::far_processor_full;
-            } else if (reason % 16 == 3) {  // code + 16 * requested wait in milliseconds
+            } else if (reason % 16 == 3) {  // 3 + 16 * the requested wait in milliseconds
                 e.cause = Cause::processor_full;
                 e.requested_wait = std::chrono::milliseconds(reason / 16);
             } else if (reason == 1) {
--- a/src/wire/host.hpp
+++ b/src/wire/host.hpp
@@ -1,5 +1,5 @@
-// Translates between the operators' simulator and call control: JSON, with one batch of events on a line, to
-// events, and actions to JSON. It makes no decisions.
+// Translates between the operators' simulator and call control. Each input line is a JSON object with a batch
+// of events; the actions go back as a line of JSON. It makes no decisions.
 #pragma once
 
 #include <map>
@@ -18,13 +18,13 @@
 class Host {
    public:
     // Handles one batch and returns the reply to it, without a line end. Throws BadInput on input that is not
-    // a valid batch; the events before the invalid one have then been handled.
+    // a valid batch; the events before the invalid one have then been handled, and their actions are lost.
     std::string handle_batch(const std::string& line);
 
    private:
-    struct Instance;
+    struct Instance;                                            // one call control
     std::map<int, std::shared_ptr<Instance>> instances_;        // by router number
-    std::map<int, std::vector<ExchangeEntry>> exchange_lists_;  // of each census, by buffer number
+    std::map<int, std::vector<ExchangeEntry>> exchange_lists_;  // from censuses, by buffer number
 };
 
 }  // namespace nettlestall::wire
--- a/src/wire/main.cpp
+++ b/src/wire/main.cpp
@@ -1,5 +1,6 @@
-// nettlestall_wirehost: reads batches from standard input, one a line, and writes a reply to each on a line
-// of standard output. On bad input it writes one line to standard error and ends with exit code 1.
+// nettlestall_wirehost: connects the operators' simulator to call control. It reads batches of events from
+// standard input, one a line, and writes the reply to each as one line to standard output. On bad input it
+// writes one line to standard error and ends with exit code 1; at the end of input it ends with exit code 0.
 #include <iostream>
 #include <string>
 
--- a/tests/call_control_driver.hpp
+++ b/tests/call_control_driver.hpp
@@ -1,4 +1,4 @@
-// Drives a call control under test: its settings, short ways to hand it events, and what it did.
+// Drives a call control under test: its settings, helpers that hand it events, and queries of its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,8 +17,7 @@
 
 using namespace std::chrono_literals;
 
-// Settings of a mesh. Exchange 0 is the own one; the others have the names below. Class 0 has a low worth,
-// class 1 a high one.
+// Settings of a mesh. Exchange 0 is the own one. Class 0 has a low worth, class 1 a high one.
 inline Settings mesh_settings() {
     Settings s;
     s.own_exchange = 0;
@@ -46,15 +45,16 @@
     return s;
 }
 
+// Ids of the exchanges, by number.
 inline const char* kExchangeNames[] = {"here", "north", "east", "west", "south"};
 
-// Hands events to a call control on a clock of its own and keeps all its actions.
+// Hands events to a call control on a clock of its own and keeps its actions until answer_all().
 class CallControlDriver {
    public:
     explicit CallControlDriver(Settings settings = mesh_settings(), std::uint64_t seed = 7)
         : control(std::move(settings), seed) {}
 
-    // All exchanges ready, and `size` circuits free toward each.
+    // Lists the own exchange and `others` more as ready, with all `size` circuits free toward each of these.
     void open_exchanges(int size, int others = 3) {
         ExchangeList all;
         for (int i = 0; i <= others; ++i) all.entries.push_back({.exchange = kExchangeNames[i], .number = i});
@@ -87,7 +87,7 @@
         return handle(list);
     }
 
-    // A call whose caller waits for 3 s.
+    // Makes a call whose caller waits for 3 s, without offering it.
     CallOffered make_call(const CallId& id, int destination, int service_class = 0, int width = 1) const {
         CallOffered c;
         c.call = id;
@@ -98,6 +98,7 @@
         return c;
     }
 
+    // Offers a call whose caller waits for 3 s.
     CallControlDriver& offer(const CallId& id, int destination, int service_class = 0, int width = 1) {
         return handle(make_call(id, destination, service_class, width));
     }
@@ -110,12 +111,12 @@
         return handle(c);
     }
 
-    // A set-up is answered.
+    // Reports that a set-up was answered.
     CallControlDriver& answer(const CallId& id, int number, Duration response_time = 30ms, int attempt = 0) {
         return handle(CallAnswered{id, attempt, kExchangeNames[number], response_time});
     }
 
-    // An attempt ends.
+    // Reports that an attempt or an answered call has ended.
     CallControlDriver& end_attempt(const CallId& id, int number, Outcome outcome, Cause cause = Cause::none,
                                    bool final = false, int attempt = 0) {
         AttemptEnded e;
@@ -129,7 +130,7 @@
         return handle(e);
     }
 
-    // The attempt is rejected by a full processor that names a time to wait.
+    // Reports that a full processor rejected an attempt and named a time to wait.
     CallControlDriver& reject_as_full(const CallId& id, int number, Duration requested_wait) {
         AttemptEnded e;
         e.call = id;
@@ -156,11 +157,12 @@
         return *this;
     }
 
-    // All set-ups sent so far are answered and end. Returns how many there were; earlier actions are dropped.
+    // Reports that all set-ups sent since the last call of this function were answered and ended. Returns how
+    // many there were; earlier actions are dropped.
     std::size_t answer_all(Duration response_time = 30ms) {
         collect_timers();
         const std::vector<Action> done = std::exchange(actions, {});
-        seen = 0;
+        scanned_actions = 0;
         std::size_t count = 0;
         for (const Action& action : done)
             if (const auto* s = std::get_if<nettlestall::SetUp>(&action)) {
@@ -192,7 +194,7 @@
             if (const auto* s = std::get_if<nettlestall::SetUp>(&a); s && s->call == id) return *s;
         return {};
     }
-    // All set-ups so far.
+    // The number of set-ups among the kept actions.
     int set_up_count() const {
         int n = 0;
         for (const Action& a : actions) n += std::holds_alternative<SetUp>(a);
@@ -204,6 +206,7 @@
             if (const auto* r = std::get_if<Refuse>(&a); r && r->call == id) return *r;
         return {};
     }
+    // Whether the call got the final answer Fail.
     bool failed(const CallId& id) const {
         for (const Action& a : actions)
             if (const auto* f = std::get_if<Fail>(&a); f && f->call == id) return true;
@@ -214,16 +217,17 @@
 
     CallControl control;
     Instant now{1s};
-    std::vector<Action> actions;
+    std::vector<Action> actions;  // since the start or the last answer_all()
 
    private:
+    // Adds the timers of new actions to the table.
     void collect_timers() {
-        for (; seen < actions.size(); ++seen)
-            if (const auto* t = std::get_if<SetTimer>(&actions[seen]))
+        for (; scanned_actions < actions.size(); ++scanned_actions)
+            if (const auto* t = std::get_if<SetTimer>(&actions[scanned_actions]))
                 timers.emplace(now + t->delay, t->token);
     }
     std::multimap<Instant, std::int64_t> timers;  // tokens, by when they expire
-    std::size_t seen = 0;                         // actions whose timers are in the table
+    std::size_t scanned_actions = 0;              // actions whose timers are in the table
 };
 
 }  // namespace nettlestall::test
--- a/tests/call_control_test.cpp
+++ b/tests/call_control_test.cpp
@@ -73,8 +73,8 @@
 }
 
 TEST(Route, AcceptsWideCallsOnSmallGroups) {
-    // Two thirds of the groups had two circuits. A width on top of a reserve is more than all of them, so
-    // wide calls never got in.
+    // Two thirds of the groups had two circuits. The width plus a reserve is more than the whole group, so
+    // wide calls were never accepted there.
     CallControlDriver driver;
     driver.open_exchanges(2);
     driver.offer_transit("on", 1, 2);
@@ -108,7 +108,7 @@
 }
 
 TEST(Route, AvoidsATandemForADestinationAfterARejection) {
-    // Without the gap most tandem calls went to one tandem, which rejected four of five.
+    // Without a back-off after a rejection one tandem got most tandem calls and rejected four of five.
     CallControlDriver driver;
     driver.open_exchanges(20);
     driver.report_circuits(1, 0, 20).report_circuits(2, 20, 20).report_circuits(3, 10, 20).offer("a", 1);
@@ -164,7 +164,7 @@
     EXPECT_TRUE(driver.refused("a"));
 }
 
-TEST(Route, LateCallsNeedHalfTheGroupFree) {
+TEST(Route, LateCallsNeedMoreThanHalfTheGroupFree) {
     CallControlDriver driver;
     driver.open_exchanges(10, 1);
     driver.offer("slow", 1).answer("slow", 1, 1100ms);  // longer than the aim
@@ -199,7 +199,8 @@
 }
 
 TEST(Route, ACallBehindAWaitingOneMayUseATandem) {
-    // 530 of 730 refused calls had a free tandem that was never tried.
+    // Calls behind one that waited for the direct group were refused: 530 of 730 refused calls had a free
+    // tandem that was never tried.
     CallControlDriver driver;
     driver.open_exchanges(10);
     driver.report_circuits(1, 1, 10).offer("wide", 1, 1, 2);
@@ -222,7 +223,8 @@
 
 // ---- Redials ---------------------------------------------------------------------------------------------
 
-// A call to a number is refused. Returns whether a second one, `after` later, waits for a circuit.
+// A call to the number "n" is refused or, if `abandoned`, its caller leaves. Returns whether a second call,
+// to `number` and `after` later, waits for a circuit.
 bool waits_again(Duration after, const std::string& number, bool abandoned = false) {
     CallControlDriver driver;
     driver.open_exchanges(10, 1);
@@ -283,7 +285,7 @@
     }
 }
 
-// The share of calls of a class that are set up on a busy group with room.
+// The share of calls of a class that are set up on a busy group with some free circuits.
 double accepted_share(CallControlDriver& driver, int service_class, const std::string& tag) {
     int sent = 0;
     for (int i = 0; i < 40; ++i) {
@@ -349,8 +351,8 @@
     EXPECT_TRUE(driver.has_final_answer("a"));
 }
 
-// A call is refused as soon as nothing that it waits for can come in time, with a pause after which the
-// caller may dial again.
+// The tests of RefusedEarly: a call is refused as soon as nothing that it waits for can come in time, with a
+// pause after which the caller may dial again.
 Settings settings_with_pauses() {
     Settings settings = mesh_settings();
     settings.may_advise_pause = true;
@@ -558,6 +560,8 @@
     EXPECT_EQ(driver.set_ups_of("a").size(), 1u);
 }
 
+// After these outcomes the attempt may still run at the far end, so the call is sent again only after the
+// release time.
 class Release : public testing::TestWithParam<Outcome> {};
 
 TEST_P(Release, IsAwaited) {
@@ -622,6 +626,7 @@
 
 // ---- Cold exchanges -----------------------------------------------------------------------------
 
+// Offers a call to exchange 1 every 20 ms, over the span, and answers all set-ups. Returns their number.
 int send_to_cold(CallControlDriver& driver, Duration span) {
     std::size_t sends = 0;
     for (Duration t{}; t < span; t += 20ms) {
@@ -671,9 +676,9 @@
     EXPECT_LE(driver.set_up_count(), 2);
 }
 
-// Many call controls have calls for one exchange that starts cold: what they send it together stays under the
-// overload rule within every span, and it does get calls. One set-up from each at once came to 80% of the
-// limit.
+// Many call controls have calls for one exchange that starts cold. All their set-ups together stay under the
+// overload rule within every span, and the exchange does get calls. When each call control sent one set-up at
+// once, these alone came to 80% of the limit.
 class ColdSum : public testing::TestWithParam<std::tuple<int, bool>> {};
 
 TEST_P(ColdSum, StaysUnderTheOverloadRule) {
@@ -722,7 +727,8 @@
 // ---- Processors ---------------------------------------------------------------------------------
 
 TEST(Processors, AFullOneIsNotTriedForAWhile) {
-    // Without the gap there were 3.3 attempts a call, most of them rejected by a full processor.
+    // Without a back-off after a rejection there were 3.3 attempts a call, most of them rejected by a full
+    // processor.
     CallControlDriver driver;
     driver.open_exchanges(20, 1);
     driver.offer("a", 1)
@@ -828,7 +834,7 @@
 }
 
 TEST(Processors, WaitsLongerBeforeRetryingASeldomCalledOne) {
-    // With many senders, each of which seldom calls, gaps of half a second held nothing back.
+    // With many senders, each of which seldom calls, back-offs of half a second held nothing back.
     for (const bool seldom : {false, true}) {
         CallControlDriver driver;
         driver.open_exchanges(30, 1);
@@ -864,8 +870,8 @@
 }
 
 TEST(Processors, TheWindowOnAllSetUpsOpensSoonAfterAStampede) {
-    // There were only 0.4 attempts a call for seconds, since the few answers that a closed window lets
-    // through hardly moved the mean response time.
+    // After a stampede there were only 0.4 attempts a call for seconds, since the few answers that a closed
+    // window lets through hardly moved the mean response time.
     CallControlDriver driver;
     driver.open_exchanges(40, 4);
     const auto round = [&](Duration response_time) { return call_each(driver, response_time); };
@@ -990,6 +996,7 @@
 
 // ---- Pools, missing groups, list on request -----------------------------------------------------
 
+// Pools instead of a mesh; calls of class 0 may go to pools 1 and 2 only.
 Settings pool_settings() {
     Settings s = mesh_settings();
     s.own_exchange = kNoExchange;
@@ -1043,16 +1050,16 @@
     ExchangeList first;
     first.kind = ListKind::cached;
     driver.handle(first).advance(100ms);
-    const auto follows = [&] {
+    const auto subscription_count = [&] {
         int n = 0;
         for (const Action& a : driver.actions) n += std::holds_alternative<SubscribeList>(a);
         return n;
     };
-    EXPECT_EQ(follows(), 1);
+    EXPECT_EQ(subscription_count(), 1);
     ExchangeList lost;
     lost.kind = ListKind::failed;
     driver.handle(lost).advance(1s);
-    EXPECT_EQ(follows(), 2);
+    EXPECT_EQ(subscription_count(), 2);
 }
 
 }  // namespace
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,5 +1,5 @@
-// Random but valid events under varied settings: all rules on calls hold, and equal events give equal
-// actions.
+// Checks with random but valid events, under varied settings, that call control keeps the rules on calls and
+// that equal events give equal actions.
 #include <map>
 #include <random>
 #include <set>
@@ -15,8 +15,8 @@
     World(Settings settings, std::uint64_t seed)
         : settings_(std::move(settings)), random_(seed), control_(settings_, seed) {}
 
-    // Runs that many steps of 5 ms with new calls, then until all must be answered. Returns a log of the
-    // actions.
+    // Runs that many steps of 5 ms with new calls, then 12.5 s without, in which all calls must be answered.
+    // Returns a log of the actions.
     std::vector<std::string> run(int steps) {
         send_list(ListKind::cached);
         for (int step = 0; step < steps; ++step) {
@@ -44,12 +44,13 @@
    private:
     // What is known of a call, to check the rules.
     struct KnownCall {
-        Instant answer_by{}, not_before{};
+        Instant answer_by{}, not_before{};  // not_before: the end of the release time
+        // pending: an attempt has no outcome yet. done: the call was refused, failed, ended or was abandoned.
         bool pending = false, done = false, standing = false, abandoned = false, transit = false;
         int destination = 0, attempts = 0, service_class = 0;
         bool never_ran = true;  // no attempt may have run
     };
-    // What will happen to an attempt or an answered call.
+    // An attempt, or an answered call (standing), whose outcome comes later.
     struct PendingOutcome {
         CallId call;
         int attempt;
@@ -68,6 +69,7 @@
         for (const Action& a : actions) std::visit([this](const auto& x) { check(x); }, a);
     }
 
+    // Offers a random call.
     void offer() {
         CallOffered c;
         c.call = "call" + std::to_string(++offered_count_);
@@ -91,6 +93,7 @@
         send(c);
     }
 
+    // Reports a random number of free circuits toward an exchange.
     void report_circuits(int number) {
         ExchangeReport r;
         r.exchange = machine(number);
@@ -100,11 +103,13 @@
         send(r);
     }
 
+    // The id of the present machine with an exchange number.
     ExchangeId machine(int number) const {
         return "x" + std::to_string(number) + "." +
                std::to_string(replacements_.count(number) ? replacements_.at(number) : 0);
     }
 
+    // Sends a random list of this kind.
     void send_list(ListKind kind) {
         ExchangeList l;
         l.kind = kind;
@@ -157,6 +162,7 @@
         }
     }
 
+    // Sends the outcomes that are due: a pending attempt is answered or ends, an answered call ends.
     void send_outcomes() {
         while (!pending_outcomes_.empty() && pending_outcomes_.begin()->first <= now_) {
             const PendingOutcome outcome = pending_outcomes_.begin()->second;
@@ -269,16 +275,19 @@
     std::map<CallId, KnownCall> calls_;
     std::set<CallId> unanswered_;
     std::multimap<Instant, PendingOutcome> pending_outcomes_;
-    std::multimap<Instant, std::int64_t> timers_;
-    std::multimap<Instant, CallId> abandon_times_;
-    std::map<int, int> replacements_;
-    std::map<int, Instant> start_times_;
-    std::set<ExchangeId> listed_ids_;
+    std::multimap<Instant, std::int64_t> timers_;   // tokens, by when they expire
+    std::multimap<Instant, CallId> abandon_times_;  // when callers leave
+    std::map<int, int> replacements_;               // by exchange number: how often its machine was replaced
+    std::map<int, Instant> start_times_;            // by exchange number
+    std::set<ExchangeId> listed_ids_;               // all that a list has named
     std::map<ExchangeId, int> number_of_;
-    std::map<ExchangeId, Instant> left_at_;
+    std::map<ExchangeId, Instant> left_at_;  // since when an exchange is draining, gone or not listed
     std::vector<std::string> log_;
 };
 
+// Each bit of `variant` changes some settings. 1: pools. 2: a class whose attempts must not be repeated,
+// tenants, no overload rule. 4: pauses, peer messages, cancels and probes allowed, two attempts at most, more
+// classes, a list that must be requested.
 Settings varied_settings(int variant) {
     Settings settings = mesh_settings();
     if (variant & 1) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -10,6 +10,7 @@
 
 using nlohmann::json;
 
+// The settings of an instance.
 json facts() {
     return json::parse(R"({"discovery":"pushed","self_index":0,"fleet_size":2,"step_s":0.005,
         "family_info":{"class_hold_s":[10],"class_width":[1],"this_node":0,"layout":"mesh","release_s":0.2},
@@ -17,6 +18,7 @@
         "limits":{"send_cap":3},"obligations":{"grace_to_answer_s":0.02,"drain_grace_s":1.0}})");
 }
 
+// Inputs of a batch, as the simulator sends them.
 json born(int entropy = 5) {
     return {{"cmd", "born"}, {"entropy", entropy}, {"facts", facts()}};
 }
@@ -52,7 +54,7 @@
         ++number;
         return b;
     }
-    // Hands the next batch to the host and returns its reply.
+    // Hands the next batch to the host and returns the reply.
     json play(std::vector<std::pair<int, json>> groups) {
         return json::parse(host.handle_batch(batch(groups).dump()));
     }
@@ -71,7 +73,7 @@
         play({{0, {born(), census("a:1"), sync("cached")}}});
         return error_of(batch({{0, json::array({event})}}).dump());
     }
-    // The exchange that a call is assigned to in a reply, by router number.
+    // The exchange of the last "assign" in a reply, by router number.
     static std::map<int, std::string> assigned(const json& reply) {
         std::map<int, std::string> to;
         for (const json& group : reply.at("groups"))
@@ -80,7 +82,7 @@
         return to;
     }
     Host host;
-    int number = 1;
+    int number = 1;  // of the next batch
 };
 
 TEST_F(Wire, RepliesToAnEmptyBatchWithItsNumber) {
