--- a/src/call_control.cpp
+++ b/src/call_control.cpp
@@ -69,7 +69,9 @@
 constexpr double kOwnExcessStep = 0.2;    // of the shortest aim: most that one answer moves the median excess
 constexpr double kResponseWeight = 0.25;  // of the newest response time in the running mean
 constexpr double kResponseStep = 0.4;     // of the shortest aim: most that one answer moves that mean
-constexpr double kExcessDecay = 0.5;      // share of the excess that is kept over a second without an answer
+// Share of a processor's excess that is kept over a second without an answer, and of the median excess that
+// is kept over every second.
+constexpr double kExcessDecay = 0.5;
 constexpr Duration kTrialGapMin = milliseconds(500);  // until a silent processor is tried again, doubling
 constexpr Duration kTrialGapMax = seconds(2);
 // Where calls are sparse both trial gaps are longer, at most by this factor.
@@ -93,7 +95,8 @@
 // Redials.
 constexpr std::size_t kMaxRefusedNumbers = 4096;  // refused calls remembered, until the longest deadline
 
-// How long after a gap has run out the next one starts at its minimum again.
+// A refusal that comes later than this after the end of the last wait starts at the least gap again (tandems
+// and busy numbers).
 constexpr Duration kBackOffMemory = seconds(10);
 // Time before the end of a caller's attempt at which it is answered, on top of the host's event interval.
 constexpr Duration kAnswerMargin = milliseconds(10);
