--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -156,7 +156,7 @@
                                      .time_limit = time_limit,
                                      .destination = call.destination,
                                      .width = call.width,
-                                     .was_cut = call.was_cut,
+                                     .is_reconnect = call.is_reconnect,
                                      .redial = call.redial});
 }
 
@@ -257,7 +257,7 @@
     call.origin = link.origin();
     call.destination = request.destination;
     call.transit = request.transit;
-    call.was_cut = request.was_cut;
+    call.is_reconnect = request.is_reconnect;
     call.redial = request.redial;
     call.width = request.width;
     call.service_class = request.service_class;
@@ -276,7 +276,7 @@
     (request.transit ? event.previous_exchange : event.advised_exchange) = request.via;
     event.time_left = time_left;
     event.transit = request.transit;
-    event.is_reconnect = request.was_cut;
+    event.is_reconnect = request.is_reconnect;
     event.redial = request.redial;
     event.called_number = call.number;
     handle_event(std::move(event));
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -139,7 +139,7 @@
         CallerLink* link = nullptr;  // the connection that it came on; null once that was closed
         std::string origin;          // of that connection
         Phase phase = Phase::waiting;
-        bool transit = false, was_cut = false, redial = false;
+        bool transit = false, is_reconnect = false, redial = false;
         int destination = kNoExchange, width = 1;
         std::string service_class, number;
         Description description;
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -27,9 +27,9 @@
     int destination = kNoExchange;  // exchange number
     int width = 0;                  // circuits that the call takes on each trunk group
     int via = kNoExchange;  // exchange number: in transit the previous exchange, else the advised tandem
-    // In transit: it comes from another exchange. Was cut: it was answered before, was cut and is set up
-    // again. Redial: the caller has marked it as a repeated attempt.
-    bool transit = false, was_cut = false, redial = false;
+    // Transit: it comes from another exchange. Reconnect: the call was answered, was cut and is set up again.
+    // Redial: the caller has marked it as a repeated attempt.
+    bool transit = false, is_reconnect = false, redial = false;
 };
 
 // Why a call is released toward its caller: no circuit (the caller may dial again), a fault, the normal end
@@ -84,7 +84,7 @@
     // Used only where the call goes on to another hub: a carrier switch routes by the number.
     int destination = kNoExchange;  // exchange number
     int width = 1;                  // circuits
-    bool was_cut = false, redial = false;
+    bool is_reconnect = false, redial = false;
 };
 
 // Sends set-ups and releases to carrier switches, each by the id of its exchange.
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -100,7 +100,7 @@
                            if (name == "width") request.width = int_or(integer, 0);
                            if (name == "via") request.via = int_or(integer, kNoExchange);
                            if (name == "transit") request.transit = integer == 1;
-                           if (name == "again") request.was_cut = integer == 1;
+                           if (name == "again") request.is_reconnect = integer == 1;
                        });
     events_.on_set_up(*this, request);
     return true;
--- a/src/trunk/messages.cpp
+++ b/src/trunk/messages.cpp
@@ -112,7 +112,10 @@
     const CallData& d = m.data;
     w.number(m.call).circuits(m.circuits).text(d.call).text(d.service_class).text(d.number);
     w.number(static_cast<std::int32_t>(d.destination)).number(static_cast<std::int32_t>(d.via));
-    w.number(static_cast<std::int64_t>(d.time_limit.count())).u8(d.was_cut).u8(d.redial).text(d.description);
+    w.number(static_cast<std::int64_t>(d.time_limit.count()))
+        .u8(d.is_reconnect)
+        .u8(d.redial)
+        .text(d.description);
 }
 void write(Writer& w, const Accept& m) {
     w.number(m.call);
@@ -158,7 +161,7 @@
     d.call = r.text(kMaxTextBytes), d.service_class = r.text(kMaxTextBytes), d.number = r.text(kMaxTextBytes);
     d.destination = r.number<std::int32_t>(), d.via = r.number<std::int32_t>();
     d.time_limit = Duration(r.number<std::int64_t>());
-    d.was_cut = r.flag(), d.redial = r.flag(), d.description = r.text(kMaxDescriptionBytes);
+    d.is_reconnect = r.flag(), d.redial = r.flag(), d.description = r.text(kMaxDescriptionBytes);
     if (m.call == kNoCall || m.circuits.empty() || d.call.empty()) r.fail();
 }
 void read(Reader& r, Accept& m) {
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -53,7 +53,7 @@
     int destination = kNoExchange;
     int via = kNoExchange;  // exchange number of the hub that sends it
     Duration time_limit{};  // until the sender cancels the set-up
-    bool was_cut = false, redial = false;
+    bool is_reconnect = false, redial = false;
 };
 
 // Whether a circuit is blocked for new calls. Hard blocking also cuts the call that is on the circuit.
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -134,7 +134,7 @@
     request.width = effect.width;
     request.via = data.via;
     request.transit = true;
-    request.was_cut = data.was_cut;
+    request.is_reconnect = data.is_reconnect;
     request.redial = data.redial;
     manager_.callers_.on_set_up(*this, request);
 }
@@ -166,7 +166,7 @@
                   .destination = request.destination,
                   .via = manager_.own_number_,
                   .time_limit = request.time_limit,
-                  .was_cut = request.was_cut,
+                  .is_reconnect = request.is_reconnect,
                   .redial = request.redial};
     Effects effects;
     const CallRef ref = group_.set_up(manager_.now_(), std::move(data), request.width, effects);
--- a/tests/net/codec_test.cpp
+++ b/tests/net/codec_test.cpp
@@ -45,7 +45,7 @@
                          std::string(request.number) + ' ' + std::to_string(request.time_left.count()) + ' ' +
                          std::to_string(request.destination) + std::to_string(request.width) +
                          std::to_string(request.via) + (request.transit ? "t" : "") +
-                         (request.was_cut ? "a" : "") + (request.redial ? "r" : "") + ' ' +
+                         (request.is_reconnect ? "a" : "") + (request.redial ? "r" : "") + ' ' +
                          std::string(request.description));
     }
     void on_release(CallerLink&, const CallId& call) override { events.push_back("released " + call); }
