--- a/src/calls/gatekeeper.cpp
+++ b/src/calls/gatekeeper.cpp
@@ -1,3 +1,5 @@
+// The call table: events, actions and timers, callers, carrier switches, and the list of exchanges. What
+// concerns standing calls is in standing.cpp.
 #include "calls/gatekeeper.hpp"
 
 #include <algorithm>
@@ -18,7 +20,7 @@
 // From the command to drain until callers are sent away even though no health check has come.
 constexpr Duration kDrainWithoutHealthCheck = milliseconds(600);
 // From the command to drain until set-ups are refused. All callers must be gone 4 s after the command.
-constexpr Duration kRefusalsDuringDrain = milliseconds(1800);
+constexpr Duration kRefusalDelayInDrain = milliseconds(1800);
 constexpr std::size_t kMaxPendingReleases = 20'000;  // further ones are dropped, to keep the memory bounded
 
 }  // namespace
@@ -227,8 +229,8 @@
 void Gatekeeper::on_set_up(CallerLink& link, const SetUpRequest& request) {
     if (const auto entry = calls_.find(request.call); entry != calls_.end()) {
         ++counters_.repeated;
-        // On the call's own connection the call's one answer is enough. On another connection another caller
-        // waits for an answer.
+        // On the call's own connection a repeated set-up needs no answer besides the call's own. On another
+        // connection, another caller waits for an answer.
         if (entry->second.link != &link)
             refuse_or_fail(&link, request.call, request.service_class, ReleaseReason::failed);
         return;
@@ -239,8 +241,8 @@
     const auto service_class =
         std::find_if(settings_.classes.begin(), settings_.classes.end(),
                      [&](const ClassSettings& c) { return c.name == request.service_class; });
-    // Late in a drain set-ups are refused, so that connections that never pause come to have none open and
-    // can be closed.
+    // Late in a drain set-ups are refused: a connection on which they come without a pause would otherwise
+    // always have one open and could not be closed.
     const bool is_full = refuses_set_ups() || is_table_full() ||
                          description_bytes_ + request.description.size() > bounds_.max_description_bytes ||
                          (settings_.max_open_calls > 0 &&
@@ -334,7 +336,7 @@
 }
 
 bool Gatekeeper::refuses_set_ups() const {
-    return drain_ && clock_() - drain_->since >= kRefusalsDuringDrain;
+    return drain_ && clock_() - drain_->since >= kRefusalDelayInDrain;
 }
 
 bool Gatekeeper::is_ready() {
@@ -466,7 +468,7 @@
 }
 
 void Gatekeeper::on_group_state(const ExchangeId& exchange, const LoadReport& load) {
-    if (load.free_circuits < 0 || load.group_size < 0) return;
+    if (load.free_circuits < 0 || load.group_size < 0) return;  // not reported
     ++counters_.group_states;
     if (const auto entry = exchanges_.find(exchange); entry != exchanges_.end())
         entry->second.group_known = true;
@@ -484,7 +486,7 @@
     ExchangeList list{.kind = event.kind, .version = event.version, .entries = {}};
     std::set<ExchangeId> dead;
     if (event.kind != ListKind::changes)
-        // Those that are among the entries get their state below.
+        // A whole list: exchanges that are not in it have gone. The others get their state below.
         for (auto& [id, exchange] : exchanges_) exchange.state = ExchangeState::gone;
     for (const ListedExchange& listed : event.entries) {
         const ExchangeEntry& entry = listed.entry;
--- a/src/calls/gatekeeper.hpp
+++ b/src/calls/gatekeeper.hpp
@@ -18,7 +18,7 @@
 
 namespace nettlestall::calls {
 
-// A call is in the table from its set-up until its final answer, and an answered call until its end.
+// The call table. A call is in it from its set-up until its final answer, or until its end if it is answered.
 class Gatekeeper final : public CallerEvents, public SwitchEvents, public CallTable {
    public:
     using Clock = std::function<Instant()>;
@@ -53,7 +53,7 @@
     void apply_settings(const Settings& settings, const Bounds& bounds);
 
     // From now on health checks fail, so that the load balancer sends no more callers. Set-ups that come
-    // nevertheless are handled, with a time limit that ends at `end`.
+    // nevertheless are handled, with a time limit that ends at `end` at the latest.
     void begin_shutdown(Instant end) { shutting_down_ = true, shutdown_end_ = end; }
 
     // From drain() to undrain() health checks fail, so that the load balancer sends callers elsewhere. Calls
@@ -65,11 +65,13 @@
     bool can_close_callers() const;
 
     // Hands over to the process that replaces this one: all standing calls now, and later each call that is
-    // answered. Set-ups that were accepted here get their final answer here. Health checks pass until the
-    // end, since to the load balancer both processes are one gatekeeper. Null: the successor has gone.
+    // answered. Set-ups that were accepted here get their final answer here. Unless the gatekeeper drains,
+    // health checks pass until this process ends, since to the load balancer both processes are one
+    // gatekeeper. Null: the successor has gone.
     void hand_over_to(Successor* successor);
     // Adds a standing call that the predecessor process has handed over or that the circuit ledger holds.
-    // `link` gets the call's release; null: a caller's connection gets it.
+    // `link` gets the call's release; null: a caller's connection gets it. A call at an exchange that is not
+    // in the list is cut at once. A call that is in the table already stays as it is.
     void accept_standing(const ExchangeId& exchange, const CallId& call, std::string_view origin,
                          CallerLink* link = nullptr);
     // Releases a standing call: its caller's release came to the predecessor process.
@@ -154,9 +156,9 @@
 
     struct Exchange {
         ExchangeState state = ExchangeState::ready;
-        Instant started{};
-        int number = kNoExchange;
-        bool group_known = false;  // it has reported the state of its circuits
+        Instant started{};         // the start of its process
+        int number = kNoExchange;  // exchange number
+        bool group_known = false;  // the state of the circuits toward it was reported
     };
 
     // Passes the event to the decision module and carries out the actions that come back. Events that the
@@ -164,8 +166,11 @@
     void handle_event(Event event);
     // Whether a drain has lasted so long that new set-ups are refused.
     bool refuses_set_ups() const;
+    // Adds an event to those that handle_event() still has to handle.
     void queue_event(Event event) { events_.push_back(std::move(event)); }
+    // Adds a timer, and calls the timer handler if it is the earliest.
     Timers::iterator schedule(Instant when, Timer timer);
+    // Removes a timer, if it is set.
     void cancel_timer(std::optional<Timers::iterator>& timer);
     void on_timer(const ModuleTimer& timer);
     void on_timer(const AttemptTimeout& timer);
@@ -177,9 +182,9 @@
     void carry_out(const Cancel& action);
     void carry_out(const SetTimer& action);
     void carry_out(const Note& action);
-    // These need nothing: the protocol has no message for probes and for messages between gatekeepers, the
-    // control feed sends the list without a request, and the one connection to each carrier switch stays
-    // open.
+    // Nothing is to be done for these: the protocol has no message for probes or for messages between
+    // gatekeepers, the control feed sends the list without a request, and the one connection to each carrier
+    // switch stays open.
     void carry_out(const Probe&) {}
     void carry_out(const SendPeerMessage&) {}
     void carry_out(const SubscribeList&) {}
@@ -213,7 +218,8 @@
     static bool is_valid(const SetUpRequest& request, const ClassSettings& service_class);
     // Ends all standing calls at the exchange as cut.
     void cut_standing(const ExchangeId& exchange);
-    // Whether Bounds::max_calls is reached. If so, a note names the oldest calls now and then.
+    // Whether Bounds::max_calls is reached. If so, writes a note that names the oldest calls, unless the
+    // last such note is recent.
     bool is_table_full();
 
     Settings settings_;
--- a/src/calls/routes.hpp
+++ b/src/calls/routes.hpp
@@ -1,4 +1,4 @@
-// Chooses who signals to an exchange: the component registered for it, or else the carrier switches.
+// Chooses which component signals to an exchange: the one registered for it, or else the carrier switches.
 #pragma once
 
 #include <map>
--- a/src/calls/signals.hpp
+++ b/src/calls/signals.hpp
@@ -36,7 +36,7 @@
 // of an answered call, or an answered call that was cut.
 enum class ReleaseReason { refused, failed, ended, cut };
 
-// One connection of a caller, as the call table sees it.
+// One connection of a caller, or the trunk group of a hub that sends calls, as the call table sees it.
 class CallerLink {
    public:
     struct Usage {
@@ -82,9 +82,9 @@
     Description description{};
     Duration time_limit{};  // within which the answer must come
     // Used only where the call goes on to another hub: a carrier switch routes by the number.
-    int destination = kNoExchange;  // exchange number
-    int width = 1;                  // circuits
-    bool is_reconnect = false, redial = false;
+    int destination = kNoExchange;              // exchange number
+    int width = 1;                              // circuits
+    bool is_reconnect = false, redial = false;  // as in SetUpRequest
 };
 
 // Sends set-ups and releases to carrier switches, each by the id of its exchange.
@@ -103,6 +103,7 @@
 // Receives what carrier switches send. The call table implements it.
 class SwitchEvents {
    public:
+    // A set-up was answered, with the description that the caller is to get.
     virtual void on_answer(const ExchangeId& exchange, const CallId& call, std::string_view description) = 0;
     // An attempt has failed or an answered call has ended. `load` holds what the exchange reported with it.
     virtual void on_call_ended(const ExchangeId& exchange, const CallId& call, Outcome outcome, Cause cause,
@@ -141,6 +142,7 @@
 // everything about them is passed on to it.
 class Successor {
    public:
+    // A call has been answered: from now on the successor owns it.
     virtual void hand_over_call(const ExchangeId& exchange, const CallId& call, std::string_view origin) = 0;
     // A call that the successor owns has ended at its exchange.
     virtual void hand_over_end(const ExchangeId& exchange, const CallId& call, Outcome outcome) = 0;
@@ -153,9 +155,10 @@
 
 // ---- The list of exchanges --------------------------------------------------------------------------
 
+// An entry of the list, with the address of the exchange's carrier switch.
 struct ListedExchange {
     ExchangeEntry entry;
-    std::string address;  // of its carrier switch: address:port; may be empty for an exchange that has gone
+    std::string address;  // address:port; may be empty for an exchange that has gone
 };
 
 // One numbered event of the control feed.
--- a/src/calls/standing.cpp
+++ b/src/calls/standing.cpp
@@ -61,8 +61,8 @@
     return found;
 }
 
-// Calls whose end is never reported must not fill the memory. The note names the oldest calls, since they are
-// the most likely to be over.
+// Calls whose end is never reported must not fill the memory. The note for the log names the oldest
+// calls, since they are the most likely to be over.
 bool Gatekeeper::is_table_full() {
     if (calls_.size() < bounds_.max_calls) return false;
     if (note_handler_ && clock_() >= next_full_note_) {
@@ -116,8 +116,8 @@
         if (const auto entry = calls_.find(id); successor_ && entry != calls_.end()) hand_over(entry);
 }
 
-// From now on the successor owns the call: nobody would pass on its release once this process has ended. To
-// the decision module here the call is over.
+// From now on the successor owns the call: once this process has ended, it could not pass on the call's
+// release. For the decision module of this process the call is over.
 void Gatekeeper::hand_over(Calls::iterator entry) {
     const CallId id = entry->first;
     const Call call = std::move(entry->second);
@@ -130,7 +130,7 @@
 
 void Gatekeeper::accept_standing(const ExchangeId& exchange, const CallId& id, std::string_view origin,
                                  CallerLink* link) {
-    // This process was itself replaced meanwhile.
+    // Meanwhile this process is itself being replaced.
     if (successor_) return successor_->hand_over_call(exchange, id, origin);
     const auto [entry, is_new] = calls_.try_emplace(id);
     if (!is_new) return;
@@ -143,7 +143,7 @@
     if (link) ++link->usage.standing_calls;
     call.sent_at = clock_();
     call.attempts = 1;
-    // This process knows that the machine has gone: the call was cut with it.
+    // The exchange is not in the list of this process: its machine has gone, and the call was cut with it.
     if (!exchanges_.count(exchange)) end_standing(entry, Outcome::reset, {}, true);
 }
 
--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -31,7 +31,9 @@
     std::uint64_t stood = 0;        // answered: the call became a standing call
     std::uint64_t turned_back = 0;  // rejected for want of a circuit or of processor capacity
     std::uint64_t errors = 0;       // rejected for any other reason
-    std::uint64_t reset = 0;        // the connection broke, or the call ended and its answer had been lost
+    // The connection broke, the switch released the call with the cause `reset`, or the call ended in the
+    // normal way though its answer had been lost.
+    std::uint64_t reset = 0;
     std::uint64_t unreachable = 0;  // there was no connection to the carrier switch
     // Without effect: the switch found the time limit over, or the set-up still waited for a connection when
     // the exchange began to drain.
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::int64_t kMaxTimeLeftMs = 3'600'000;  // a caller that claims to wait longer is held to this
-// By how much a set-up may grow when it is sent on: its length, and a time left that has more digits.
+// What a set-up needs besides its header and parameters when it is sent on: two bytes for the length field,
+// the others for a time left that is written with more digits.
 constexpr std::size_t kForwardingMarginBytes = 16;
 
 // `value` if it is an exchange number or a count, or -1; else `fallback`.
--- a/src/protocol/callers.hpp
+++ b/src/protocol/callers.hpp
@@ -30,7 +30,7 @@
     // is to be closed.
     bool consume(std::size_t bytes);
 
-    // The bytes of a message that has not yet come to its end.
+    // The bytes that have come of a message that is not complete yet.
     std::string_view partial_message() const { return reader_.partial_message(); }
     // Continues where the session of another process stopped on the same connection, with that session's
     // has_sent_request() and partial_message(). False: the bytes are malformed.
@@ -38,6 +38,7 @@
     // Whether the caller has sent any message that gets an answer.
     bool has_sent_request() const { return has_sent_request_; }
     bool has_partial_message() const { return reader_.has_partial_message(); }
+    // How many messages were read.
     std::uint64_t whole_messages() const { return reader_.whole_messages(); }
 
     void answer(const CallId& call, Description description) override;
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -9,17 +9,18 @@
 namespace nettlestall::protocol {
 namespace {
 
-// The buffer of a connection with no long message under way. It holds a dozen usual messages.
+// The buffer size of a connection on which no longer message has begun: enough for a dozen usual messages.
 constexpr std::size_t kBufferBytes = 4 * 1024;
 
-std::size_t read_big_endian(const char* at) {
-    return static_cast<std::size_t>(static_cast<unsigned char>(at[0])) << 8 |
-           static_cast<unsigned char>(at[1]);
+// Both handle a length of two bytes.
+std::size_t read_big_endian(const char* bytes) {
+    return static_cast<std::size_t>(static_cast<unsigned char>(bytes[0])) << 8 |
+           static_cast<unsigned char>(bytes[1]);
 }
 
-void write_big_endian(std::string& to, std::size_t at, std::size_t value) {
-    to[at] = static_cast<char>(value >> 8);
-    to[at + 1] = static_cast<char>(value & 0xFF);
+void write_big_endian(std::string& bytes, std::size_t offset, std::size_t value) {
+    bytes[offset] = static_cast<char>(value >> 8);
+    bytes[offset + 1] = static_cast<char>(value & 0xFF);
 }
 
 // Whether the parameters are complete and the last one ends with the message's last byte.
@@ -33,7 +34,7 @@
     return true;
 }
 
-// Zero for anything that is not a hex digit.
+// The value of a lower-case hex digit; zero for any other character.
 int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -72,8 +73,8 @@
         end_ -= begin_;
         begin_ = 0;
     }
-    // Makes room for all of the message that has begun, whose length next() has checked. The memory is freed
-    // once that message was taken.
+    // Makes room for the whole of the message that has begun, whose length next() has checked. Once that
+    // message was taken, the memory is freed.
     const std::size_t message_bytes = end_ < kLengthBytes ? 0 : kLengthBytes + read_big_endian(bytes_.data());
     const std::size_t buffer_bytes = std::max(kBufferBytes, message_bytes);
     if (bytes_.size() < buffer_bytes) bytes_.resize(buffer_bytes);
@@ -91,12 +92,13 @@
 MessageReader::Result MessageReader::next(Message& message) {
     const std::size_t available = end_ - begin_;
     if (available < kLengthBytes) return Result::incomplete;
-    const char* at = bytes_.data() + begin_;
-    const std::size_t length = read_big_endian(at);
-    // Checked before the rest has come: a far end that announces too long a message must not be waited for.
+    const char* start = bytes_.data() + begin_;
+    const std::size_t length = read_big_endian(start);
+    // Checked before the rest has come: the rest of a message that is announced as too long must not be
+    // waited for.
     if (length < kHeaderBytes || length + kLengthBytes > kMaxMessageBytes) return Result::malformed;
     if (available < kLengthBytes + length) return Result::incomplete;
-    const std::string_view body(at + kLengthBytes, length);
+    const std::string_view body(start + kLengthBytes, length);
     message.type = static_cast<MessageType>(static_cast<std::uint8_t>(body[0]));
     message.id = body.substr(1, kIdBytes);
     message.parameters = body.substr(kHeaderBytes);
@@ -115,9 +117,9 @@
 }
 
 FrameBuilder& FrameBuilder::text(ParameterCode code, std::string_view value) {
-    const std::size_t at = header_.size();
+    const std::size_t offset = header_.size();
     header_.append(kParameterHeaderBytes, static_cast<char>(code));
-    write_big_endian(header_, at + 1, value.size());
+    write_big_endian(header_, offset + 1, value.size());
     header_.append(value);
     return *this;
 }
@@ -133,9 +135,9 @@
 
 Frame FrameBuilder::build(std::shared_ptr<const std::string> description) {
     if (!description) return finish(nullptr);
-    const std::size_t at = header_.size();
+    const std::size_t offset = header_.size();
     header_.append(kParameterHeaderBytes, static_cast<char>(ParameterCode::description));
-    write_big_endian(header_, at + 1, description->size());
+    write_big_endian(header_, offset + 1, description->size());
     return finish(std::move(description));
 }
 
@@ -166,6 +168,7 @@
         const auto number = to_number(value);
         if (!number) return;
         const auto circuits = [&] { return static_cast<int>(std::lround(std::clamp(*number, -1.0, 1e9))); };
+        // Each value has two names.
         if (name == "x0" || name == "free") load.free_circuits = circuits();
         if (name == "x1" || name == "size") load.group_size = circuits();
         if (name == "inflight" || name == "busy_reqs") load.busy_messages = *number;
--- a/src/protocol/codec.hpp
+++ b/src/protocol/codec.hpp
@@ -1,5 +1,5 @@
-// The binary messages of callers and carrier switches. A connection's bytes are cut into messages in place:
-// what a message holds is given as views into these bytes.
+// Reads and writes the binary messages of callers and carrier switches. The bytes of a connection are split
+// into messages in place: the contents of a message are given as views into these bytes.
 //
 // A message is a length of two bytes, a type, a call id of eight bytes and parameters. A parameter is a code,
 // a length of two bytes and its value. All lengths are big-endian and count what follows them.
@@ -48,11 +48,11 @@
                        kFault = 47, kTimerExpired = 102, kMissingParameter = 96;
 }
 
-constexpr std::size_t kLengthBytes = 2;
+constexpr std::size_t kLengthBytes = 2;  // the message's length field
 constexpr std::size_t kIdBytes = 8;
-constexpr std::size_t kHeaderBytes = 1 + kIdBytes;   // type and call id; the message's length counts them
-constexpr std::size_t kMaxMessageBytes = 16 * 1024;  // the length field included
-constexpr std::size_t kParameterHeaderBytes = 1 + 2;
+constexpr std::size_t kHeaderBytes = 1 + kIdBytes;    // type and call id; the message's length counts them
+constexpr std::size_t kMaxMessageBytes = 16 * 1024;   // the length field included
+constexpr std::size_t kParameterHeaderBytes = 1 + 2;  // code and length
 
 // One message in place. Made only by MessageReader, which has checked that the parameters fill it exactly.
 struct Message {
@@ -65,12 +65,12 @@
     // The same, empty if there is none.
     std::string_view text(ParameterCode code) const { return find(code).value_or(std::string_view{}); }
     std::uint8_t cause() const;  // zero if there is none
-    CallId call() const;         // the call id as 16 hex digits
+    CallId call() const;         // the call id as 16 lower-case hex digits
     // Zero is not a call id.
     bool has_call_id() const { return id.find_first_not_of('\0') != std::string_view::npos; }
 };
 
-// Cuts the bytes of one connection into messages. Read into read_buffer() and then call consume(), or else
+// Splits the bytes of one connection into messages. Read into read_buffer() and then call consume(), or else
 // call add_bytes() and then next() until it returns no further message. A message's views are valid until
 // read_buffer() is called again.
 class MessageReader {
@@ -86,8 +86,11 @@
     // can't be used any more.
     Result next(Message& message);
 
+    // What has come and was not taken. Once next() has returned Result::incomplete, these are the bytes of a
+    // message that is not complete yet.
     bool has_partial_message() const { return end_ > begin_; }
     std::string_view partial_message() const { return {bytes_.data() + begin_, end_ - begin_}; }
+    // How many messages were taken.
     std::uint64_t whole_messages() const { return whole_messages_; }
 
     // Adds `bytes` bytes and calls `handle` with each message. False if a message is malformed or `handle`
@@ -104,7 +107,7 @@
 
    private:
     std::vector<char> bytes_;
-    std::size_t begin_ = 0, end_ = 0;  // of the bytes that have come and were not taken yet
+    std::size_t begin_ = 0, end_ = 0;  // positions in bytes_: what has come and was not taken yet
     std::uint64_t whole_messages_ = 0;
 };
 
@@ -118,10 +121,11 @@
     std::size_t size() const { return header.size() + (description ? description->size() : 0); }
 };
 
-// Encodes one message. Parameters are written in the order in which they are added.
+// Encodes one message. Parameters are written in the order in which they are added. The size is not checked:
+// the caller has to keep the message within kMaxMessageBytes.
 class FrameBuilder {
    public:
-    // `call`: 16 hex digits. Missing ones are written as zero, so an empty id stands for no call.
+    // `call`: 16 lower-case hex digits. Missing ones are written as zero, so an empty id stands for no call.
     FrameBuilder(MessageType type, const CallId& call);
     FrameBuilder& text(ParameterCode code, std::string_view value);
     FrameBuilder& cause(std::uint8_t value);
--- a/src/protocol/feed.cpp
+++ b/src/protocol/feed.cpp
@@ -39,7 +39,7 @@
 
 ListEvent read_list_event(const json::Value& event) {
     ListEvent result;
-    if (event.IsNumber()) {  // without a list
+    if (event.IsNumber()) {  // the event's number alone, without a list
         result.number = json::convert<std::int64_t>(event, "n");
         return result;
     }
--- a/src/protocol/feed.hpp
+++ b/src/protocol/feed.hpp
@@ -26,13 +26,14 @@
     using ListHandler = std::function<void(const ListEvent&)>;
 
     // `handler` gets each new event that has a list. `last_number` is the number of the last event that is
-    // known already. A line of more than `max_line_bytes` is malformed.
+    // known already. A line of more than `max_line_bytes` bytes is malformed.
     FeedSession(std::int64_t last_number, ListHandler handler, std::size_t max_line_bytes = 256 * 1024)
         : handler_(std::move(handler)), last_number_(last_number), max_line_bytes_(max_line_bytes) {}
     void set_max_line_bytes(std::size_t max_line_bytes) { max_line_bytes_ = max_line_bytes; }
 
     // The number of the last event that was handled.
     std::int64_t last_number() const { return last_number_; }
+    // How many lines were read, on all connections.
     std::uint64_t whole_lines() const { return whole_lines_; }
     // Starts on a new connection: returns the line to be written first, and drops a line of the previous
     // connection that had no end yet.
@@ -53,7 +54,7 @@
     std::int64_t last_number_;
     std::size_t max_line_bytes_;
     std::vector<char> bytes_;
-    std::size_t end_ = 0;  // of the bytes of a line that has no end yet
+    std::size_t end_ = 0;  // how many bytes of an incomplete line bytes_ holds
     std::uint64_t whole_lines_ = 0;
 };
 
--- a/src/protocol/handover.cpp
+++ b/src/protocol/handover.cpp
@@ -7,9 +7,11 @@
 
 constexpr std::size_t kReadBytes = 16 * 1024;  // buffer space for each read
 constexpr std::size_t kLengthFieldBytes = 4;
+// The parts of a hello.
 constexpr const char* kName = "nettlestall";
 constexpr const char* kVersion = "1";
 
+// How many parts a message of this kind has.
 std::size_t part_count(HandoverKind kind) {
     switch (kind) {
         case HandoverKind::hello:
@@ -38,7 +40,7 @@
     for (int shift = 24; shift >= 0; shift -= 8) to += static_cast<char>(length >> shift & 0xFF);
 }
 
-// Removes a length from the front of `from`, which has to hold one, and returns it.
+// Removes a length from the start of `from`, which has to hold one, and returns it.
 std::size_t read_length(std::string_view& from) {
     std::size_t length = 0;
     for (std::size_t i = 0; i < kLengthFieldBytes; ++i)
@@ -97,7 +99,7 @@
     while (rest.size() >= kLengthFieldBytes) {
         std::string_view body = rest;
         const std::size_t length = read_length(body);
-        if (length == 0 || length > kMaxMessageBytes) return false;  // checked before memory is taken for it
+        if (length == 0 || length > kMaxMessageBytes) return false;  // checked before more memory is used
         if (body.size() < length) break;
         auto message = read_message(body.substr(0, length));
         if (!message) return false;
--- a/src/protocol/handover.hpp
+++ b/src/protocol/handover.hpp
@@ -1,6 +1,6 @@
 // The messages between a serving process and the successor that takes over from it in an upgrade. A message
 // is a length of four bytes, a kind of one byte and parts; each part is a length of four bytes and its text.
-// File descriptors are passed beside the bytes. It does no I/O of its own.
+// File descriptors are passed beside the bytes. This code does no I/O of its own.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 namespace nettlestall::protocol {
 
-// The comments name the parts. Each part is text; a flag is `1` or `0`.
+// The kinds of messages. The comments name the parts. Each part is text; a flag is `1` or `0`.
 enum class HandoverKind : std::uint8_t {
     hello = 1,          // name, version; with the listening socket if the predecessor sends it
     exchange_list,      // the exchanges, as a line of the control feed
@@ -28,20 +28,24 @@
     call_released,      // call; by its caller
 };
 
+// One message, with as many parts as its kind has.
 struct HandoverMessage {
     HandoverKind kind{};
     std::vector<std::string> parts;
 
+    // The hello of this program in this version of the messages.
     static HandoverMessage hello();
-    // Whether it is the hello of this program in this version of the messages.
+    // Whether it equals hello().
     bool is_valid_hello() const;
+    // Whether a file descriptor may come with it.
     bool carries_descriptor() const {
         return kind == HandoverKind::hello || kind == HandoverKind::caller_connection;
     }
+    // The bytes of the message, its length field included.
     std::string encode() const;
 };
 
-// Cuts the bytes of one connection into messages.
+// Splits the bytes of one connection into messages.
 class HandoverReader {
    public:
     static constexpr std::size_t kMaxMessageBytes = 1024 * 1024;  // without the message's own length field
@@ -56,7 +60,7 @@
 
    private:
     std::vector<char> bytes_;
-    std::size_t end_ = 0;                    // of the bytes of a message that has no end yet
+    std::size_t end_ = 0;                    // how many bytes of an incomplete message bytes_ holds
     std::vector<HandoverMessage> messages_;  // complete, not taken yet
 };
 
--- a/src/protocol/operators.cpp
+++ b/src/protocol/operators.cpp
@@ -18,7 +18,7 @@
     });
 }
 
-// Header fields are named in any case.
+// The names of header fields are case-insensitive.
 bool equal_ignoring_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
@@ -38,7 +38,7 @@
     return line;
 }
 
-// The length of the header, up to and including the empty line; 0: the empty line has not come yet.
+// The length of the header in bytes, the empty line at its end included; 0: that line has not come yet.
 std::size_t end_of_header(std::string_view text) {
     for (std::size_t at = text.find('\n'); at != std::string_view::npos; at = text.find('\n', at + 1)) {
         const std::string_view next = text.substr(at + 1, 2);
@@ -48,6 +48,7 @@
     return 0;
 }
 
+// The whole reply. `extra` holds further header fields, each with its line end.
 std::string format_reply(std::string_view status, std::string_view body, std::string_view extra = {}) {
     std::string text = "HTTP/1.1 ";
     text.append(status).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
@@ -78,7 +79,7 @@
         if (header_bytes == 0) return true;
         if (!read_header(received.substr(0, header_bytes))) return false;
         in_body_ = true;
-        bytes = received.size() - header_bytes;
+        bytes = received.size() - header_bytes;  // of the body
     }
     body_bytes_left_ -= std::min(body_bytes_left_, bytes);
     if (body_bytes_left_ > 0) return true;
--- a/src/protocol/operators.hpp
+++ b/src/protocol/operators.hpp
@@ -9,8 +9,9 @@
 
 namespace nettlestall::protocol {
 
+// The reply to a request that OperatorRequestHandler::handle_other() has handled.
 struct OperatorReply {
-    int status = 200;    // 200, 400, 404, 405 or 409
+    int status = 200;    // HTTP status: 200, 400, 404, 405 or 409
     std::string body{};  // with 405 the method that is allowed
 };
 
@@ -18,11 +19,12 @@
 class OperatorRequestHandler {
    public:
     virtual bool is_ready() = 0;              // the same answer as a health check gets
-    virtual std::string metrics() const = 0;  // lines of name:value|kind
+    virtual std::string metrics() const = 0;  // all metrics, each as a line name:value|kind
     // While a drain is on, a further drain() changes nothing; the same holds for undrain().
     virtual void drain() = 0;
     virtual void undrain() = 0;
-    // Handles the paths that are not among the above. std::nullopt: there is no such path.
+    // Handles all paths but /ready, /metrics, /drain and /undrain. Which exist depends on the parts of the
+    // program that are in use. std::nullopt: there is no such path.
     virtual std::optional<OperatorReply> handle_other(std::string_view method, std::string_view path,
                                                       std::string_view query) = 0;
 
@@ -58,8 +60,8 @@
 
     OperatorRequestHandler& handler_;
     std::string bytes_, method_, path_, query_, reply_;
-    std::size_t end_ = 0;              // of the bytes of the header that have come
-    std::size_t body_bytes_left_ = 0;  // until the end of the body
+    std::size_t end_ = 0;              // how many bytes have come for the header
+    std::size_t body_bytes_left_ = 0;  // bytes of the body that have not come yet
     bool in_body_ = false, has_host_ = false, has_length_ = false;
 };
 
--- a/src/protocol/switches.hpp
+++ b/src/protocol/switches.hpp
@@ -21,6 +21,7 @@
     // is to be closed.
     bool consume(std::size_t bytes);
 
+    // Whether a message has begun that is not complete yet, and how many messages were read.
     bool has_partial_message() const { return reader_.has_partial_message(); }
     std::uint64_t whole_messages() const { return reader_.whole_messages(); }
 
--- a/tests/net/calls_test.cpp
+++ b/tests/net/calls_test.cpp
@@ -27,8 +27,8 @@
     std::string_view origin() const override { return name; }
 };
 
-// A gatekeeper with one caller's connection and three exchanges: its own, s-0, and s-1 and s-2. It records
-// what the exchanges are sent.
+// A gatekeeper with one caller's connection and three exchanges: s-0, which is its own, s-1 and s-2. It
+// records what the exchanges are sent.
 struct TestHub final : Switches {
     struct SentSetUp {
         ExchangeId exchange;
@@ -80,11 +80,12 @@
         gatekeeper.on_group_state(exchange, load);
     }
     void report_all_circuits() { report_circuits("s-1", 20), report_circuits("s-2", 20); }
-    void send_set_up(const CallId& call, int to = 1, Duration time_left = 3s, bool transit = false) {
+    void send_set_up(const CallId& call, int destination = 1, Duration time_left = 3s, bool transit = false) {
         SetUpRequest request;
         request.call = call, request.service_class = "move", request.number = call,
         request.description = "offer";
-        request.time_left = time_left, request.destination = to, request.width = 1, request.transit = transit;
+        request.time_left = time_left, request.destination = destination, request.width = 1,
+        request.transit = transit;
         gatekeeper.on_set_up(link, request);
     }
     // Lets time pass in steps of 1 ms.
@@ -169,7 +170,7 @@
     CHECK(hub.released.size() == 1 && hub.link.usage.standing_calls == 0);
 }
 
-void releases_answer_to_cancelled_set_up() {
+void releases_call_answered_after_cancellation() {
     TestHub hub;
     hub.report_all_circuits();
     hub.send_set_up("a");
@@ -274,7 +275,7 @@
     CHECK(!hub.gatekeeper.is_ready());
     hub.report_all_circuits();
     hub.send_set_up("a");
-    // The process ends then, so the attempt must be over by that time.
+    // The process ends 1 s after begin_shutdown(), so the attempt must be over by that time.
     CHECK(hub.set_ups.size() == 1 && hub.set_ups[0].time_limit <= 1s);
     hub.gatekeeper.refuse_all();
     CHECK(hub.messages_for("a") == Messages{"refused"} && hub.gatekeeper.unanswered_calls() == 0);
@@ -361,8 +362,8 @@
     CHECK(receiver.released.size() == 2 && receiver.gatekeeper.calls() == 0);
 }
 
-// Exchanges are replaced time and again, and each call has a new id and number. An entry that is left behind
-// by one of them would fill the memory in the long run.
+// Exchanges are replaced again and again, and each call has a new id and number. If each of them left an
+// entry behind, the memory would fill up in the long run.
 void removes_entries_of_past_calls() {
     TestHub hub;
     hub.report_all_circuits();
@@ -403,8 +404,8 @@
     CHECK(hub.gatekeeper.table_entries() <= entries_at_start);
 }
 
-// Random events in random order: each call gets one final answer, has one attempt at a time, and is not sent
-// again before the release of its last attempt.
+// Under random events each call that is not abandoned gets one final answer, has one attempt at a time, and
+// is not sent again before the exchange has had the time to release an attempt that was cancelled or reset.
 void keeps_rules_under_random_events() {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         Random random{seed * 104729};
@@ -523,7 +524,7 @@
     answers_and_ends_call_once();
     answers_unservable_set_ups_at_once();
     only_own_connection_cancels_set_up();
-    releases_answer_to_cancelled_set_up();
+    releases_call_answered_after_cancellation();
     waits_for_release_after_reset();
     counts_end_without_answer_as_reset();
     sends_no_set_up_to_draining_or_gone_exchange();
--- a/tests/net/codec_test.cpp
+++ b/tests/net/codec_test.cpp
@@ -187,7 +187,7 @@
 }
 
 // A message's length is checked before memory is taken for it, and the memory is freed after the message.
-// Else a far end could make each connection hold the memory of the longest message.
+// Otherwise a far end could make each connection hold the memory of the longest message.
 void frees_memory_after_long_message() {
     Counters counters;
     Recorder recorder;
@@ -210,7 +210,7 @@
 // A set-up that a carrier switch can't read is malformed, and its own connection is closed. If it were sent
 // on, the switch would close its connection, with the set-ups of all other callers on it.
 void rejects_set_up_that_no_switch_can_read() {
-    const auto too_long = [] {  // a longest message; with more digits in the time left it would be too long
+    const auto too_long = [] {  // of the maximum length: too long once its time left had more digits
         const std::string rest = set_up(kCall, "");
         return set_up(kCall, std::string(kMaxMessageBytes - rest.size(), 'd'));
     };
@@ -226,7 +226,7 @@
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
         Random random{seed * 7919};
         std::string text = set_up(kCall, "some description") + bytes(SwitchSession::release_frame(kCall));
-        // Half of the texts are damaged messages: they get further than noise does.
+        // Half of the texts are damaged messages: the sessions read more of them than of noise.
         if (seed % 2) {
             for (std::size_t n = 1 + random.below(8); n > 0; --n)
                 text[random.below(text.size())] = static_cast<char>(random.below(256));
@@ -238,8 +238,8 @@
         Recorder recorder;
         CallerSession caller(recorder, recorder, counters);
         deliver(caller, text, &random);
-        SwitchSession at_switch("s", recorder, counters);
-        deliver(at_switch, text, &random);
+        SwitchSession switch_session("s", recorder, counters);
+        deliver(switch_session, text, &random);
         FeedSession feed(0, [](const ListEvent&) {});
         deliver(feed, text + "\n", &random);
         read_load_report(text);
@@ -262,7 +262,7 @@
     CHECK(listed.address == "10.1.0.9:3868" && listed.entry.started == std::chrono::milliseconds(12));
     CHECK(events[0].kind == ListKind::changes);
     const ListEvent reread =
-        read_list_event(std::string_view(write_list_event(events[0])));  // as it is handed over
+        read_list_event(std::string_view(write_list_event(events[0])));  // as in a hand-over
     CHECK(reread.number == 3 && reread.version == 7 && reread.kind == ListKind::changes);
     CHECK(reread.entries.at(0).address == listed.address &&
           reread.entries[0].entry.started == listed.entry.started);
@@ -320,7 +320,7 @@
     }
 }
 
-// Records the commands: `d` for a drain, `u` for its end.
+// Records the commands: `d` for a drain, `u` for its end. handle_other() knows the path `/other` alone.
 struct TestRequestHandler final : OperatorRequestHandler {
     std::optional<OperatorReply> handle_other(std::string_view method, std::string_view path,
                                               std::string_view query) override {
