--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -9,10 +9,12 @@
 // All counts run from the start of the process. Each is written to the log under its own name.
 struct Counters {
     // Set-ups from callers.
-    std::uint64_t set_ups = 0;   // with a new id
-    std::uint64_t transit = 0;   // of these: in transit
-    std::uint64_t redials = 0;   // of these: marked as redials
-    std::uint64_t repeated = 0;  // with the id of a call that is in the table already; not in set_ups
+    std::uint64_t set_ups = 0;  // with a new id
+    std::uint64_t transit = 0;  // of these: in transit
+    std::uint64_t redials = 0;  // of these: marked as redials
+    // With the id of a call that is in the table already; not in set_ups. One that comes on another
+    // connection than the call's own is answered with the cause `fault`, which is not in failed.
+    std::uint64_t repeated = 0;
 
     // Final answers to callers.
     std::uint64_t answered = 0;  // the call was answered
