--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -9,10 +9,12 @@
 // All counts run from the start of the process. Each is written to the log under its own name.
 struct Counters {
     // Set-ups from callers.
-    std::uint64_t set_ups = 0;   // with a new id
-    std::uint64_t transit = 0;   // of these: in transit
-    std::uint64_t redials = 0;   // of these: marked as redials
-    std::uint64_t repeated = 0;  // with the id of a call that is in the table already; not in set_ups
+    std::uint64_t set_ups = 0;  // with a new id
+    std::uint64_t transit = 0;  // of these: in transit
+    std::uint64_t redials = 0;  // of these: marked as redials
+    // With the id of a call that is in the table already; not in set_ups. One that comes on another
+    // connection than the call's own is answered with the cause `fault`, which is not in failed.
+    std::uint64_t repeated = 0;
 
     // Final answers to callers.
     std::uint64_t answered = 0;  // the call was answered
@@ -31,7 +33,9 @@
     std::uint64_t stood = 0;        // answered: the call became a standing call
     std::uint64_t turned_back = 0;  // rejected for want of a circuit or of processor capacity
     std::uint64_t errors = 0;       // rejected for any other reason
-    std::uint64_t reset = 0;        // the connection broke, or the call ended and its answer had been lost
+    // The connection broke, the switch released the call with the cause `reset`, or the call ended in the
+    // normal way though its answer had been lost.
+    std::uint64_t reset = 0;
     std::uint64_t unreachable = 0;  // there was no connection to the carrier switch
     // Without effect: the switch found the time limit over, or the set-up still waited for a connection when
     // the exchange began to drain.
--- a/src/protocol/callers.cpp
+++ b/src/protocol/callers.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::int64_t kMaxTimeLeftMs = 3'600'000;  // a caller that claims to wait longer is held to this
-// By how much a set-up may grow when it is sent on: its length, and a time left that has more digits.
+// What a set-up needs besides its header and parameters when it is sent on: two bytes for the length field,
+// the others for a time left that is written with more digits.
 constexpr std::size_t kForwardingMarginBytes = 16;
 
 // `value` if it is an exchange number or a count, or -1; else `fallback`.
@@ -100,7 +101,7 @@
                            if (name == "width") request.width = int_or(integer, 0);
                            if (name == "via") request.via = int_or(integer, kNoExchange);
                            if (name == "transit") request.transit = integer == 1;
-                           if (name == "again") request.was_cut = integer == 1;
+                           if (name == "again") request.is_reconnect = integer == 1;
                        });
     events_.on_set_up(*this, request);
     return true;
