--- a/src/store/trunk_ledger.cpp
+++ b/src/store/trunk_ledger.cpp
@@ -19,6 +19,8 @@
     using std::runtime_error::runtime_error;
 };
 
+// `facts`: the point code of the hub and its last incarnation (row `life`). `places`: one row per circuit
+// that a standing call holds. `blocked`: one row per circuit that this end blocks.
 constexpr const char* kCreateTables =
     "CREATE TABLE facts (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;"
     "CREATE TABLE places (grp INTEGER, circuit INTEGER, ref INTEGER NOT NULL, circuits TEXT NOT NULL,"
@@ -34,7 +36,8 @@
     return text;
 }
 
-// The reverse of to_text(); empty if the text is not of that form.
+// The reverse of to_text(). Empty if the text contains anything but digits and spaces, or a number that is
+// far too large; a number without a space after it is ignored.
 trunk::CircuitList to_circuits(const std::string& text) {
     trunk::CircuitList circuits;
     int number = 0;
@@ -60,7 +63,8 @@
         db_.reset(opened);  // must be closed even if opening failed
         if (result != SQLITE_OK) fail();
         sqlite3_busy_timeout(db_.get(), 200);  // ms
-        // With a write-ahead log, everything committed survives a crash of the process at any moment.
+        // With a write-ahead log, everything committed survives a crash of the process at any moment. The
+        // page cache is limited to 256 KiB.
         run("PRAGMA journal_mode=WAL"), run("PRAGMA synchronous=NORMAL"), run("PRAGMA cache_size=-256");
     }
     ~Database() {
@@ -72,6 +76,7 @@
         if (sqlite3_exec(db_.get(), text, nullptr, nullptr, nullptr) != SQLITE_OK) fail();
     }
 
+    // The current row of a result. Columns count from 0.
     class Row {
        public:
         explicit Row(sqlite3_stmt* statement) : statement_(statement) {}
@@ -99,6 +104,7 @@
         sqlite3_clear_bindings(statement);
         if (result != SQLITE_DONE) fail();
     }
+    // Runs a statement whose result is not needed.
     template <class... Values>
     void execute(const char* text, const Values&... values) {
         for_each_row(
@@ -120,6 +126,7 @@
    private:
     [[noreturn]] void fail() const { throw DatabaseError(db_ ? sqlite3_errmsg(db_.get()) : "no memory"); }
 
+    // The statement for `text`, which is prepared at its first use.
     sqlite3_stmt* prepared(const char* text) {
         auto& statement = statements_[text];
         if (!statement && sqlite3_prepare_v2(db_.get(), text, -1, &statement, nullptr) != SQLITE_OK) fail();
@@ -136,7 +143,7 @@
         void operator()(sqlite3* db) const { sqlite3_close(db); }
     };
     std::unique_ptr<sqlite3, Closer> db_;
-    std::map<std::string, sqlite3_stmt*> statements_;
+    std::map<std::string, sqlite3_stmt*> statements_;  // by SQL text
 };
 
 TrunkLedger::TrunkLedger(const std::string& folder, trunk::PointCode own, Log log) : log_(std::move(log)) {
--- a/src/store/trunk_ledger.hpp
+++ b/src/store/trunk_ledger.hpp
@@ -12,6 +12,8 @@
 
 namespace nettlestall::store {
 
+// The ledger of one hub. No function throws a database error: the first one is logged, and nothing is stored
+// or read after it.
 class TrunkLedger final : public trunk::Ledger {
    public:
     using Log = std::function<void(const std::string&)>;
@@ -33,6 +35,7 @@
         trunk::CircuitNumber circuit;
         trunk::Blocking blocking;
     };
+    // The circuits that this end blocks.
     std::vector<BlockedCircuit> blocked();
 
     void store_call(const trunk::LedgerCall& call) override;
--- a/src/trunk/audit.hpp
+++ b/src/trunk/audit.hpp
@@ -10,12 +10,13 @@
 
 namespace nettlestall::trunk {
 
+// When circuits are queried, and when a mismatch leads to a reset.
 struct AuditRules {
     bool enabled = true;
     Duration interval = std::chrono::seconds(30);         // between two queries about the same circuit
     Duration response_timeout = std::chrono::seconds(5);  // then the query is repeated
-    int confirmations = 2;  // mismatches in a row after which a circuit is reset
-    int circuits_per_query = 256;
+    int confirmations = 2;         // mismatches in a row after which a circuit is reset
+    int circuits_per_query = 256;  // at most
     // Draw no conclusion about circuits that changed after the query. Off only in tests and experiments.
     bool skip_changed_circuits = true;
 };
@@ -49,6 +50,7 @@
     // The link has restarted: the outstanding query and all mismatches so far no longer count.
     void clear();
 
+    // Queries made, and mismatches found on circuits, since this object was created.
     std::uint64_t queries() const { return queries_; }
     std::uint64_t mismatches() const { return mismatches_; }
     // Circuits with a mismatch that is not confirmed yet.
--- a/src/trunk/circuits.cpp
+++ b/src/trunk/circuits.cpp
@@ -13,7 +13,7 @@
 
 // Transitions by state, then by event: seize, accept, accept_incoming, answer, yield, release, clear, reset,
 // mark_unsure. A yielding circuit may accept a seizure of the far end, because that one won. A circuit that
-// is being released or reset accepts none, since a seizure may have crossed the release.
+// is being released or reset accepts none, since a seizure of the far end may have crossed the release.
 constexpr std::array<std::array<S, kCircuitEventCount>, kCircuitStateCount> kTransitions{{
     /* idle       */ {S::seizing, kNo, S::incoming, kNo, kNo, kNo, kNo, S::resetting, S::unsure},
     /* seizing    */
--- a/src/trunk/circuits.hpp
+++ b/src/trunk/circuits.hpp
@@ -11,6 +11,7 @@
 
 namespace nettlestall::trunk {
 
+// State of one circuit as this end sees it.
 enum class CircuitState : std::uint8_t {
     idle,
     seizing,     // this end sent a seizure and has no reply yet
@@ -26,6 +27,7 @@
 // The state's name as operators see it.
 std::string_view name_of(CircuitState state);
 
+// What can happen to a circuit; next_state() tells what it leads to in each state.
 enum class CircuitEvent : std::uint8_t {
     seize,            // this end seizes the circuit
     accept,           // the far end accepts this end's seizure
@@ -35,7 +37,7 @@
     release,          // this end releases the call
     clear,            // the far end has released the call, or confirms this end's release, reset or yielding
     reset,            // this end resets the circuit
-    mark_unsure,      // the link was lost for good, or the far end contradicts this end
+    mark_unsure,      // the link has restarted or was down for too long; the far end's view is unknown
 };
 constexpr int kCircuitEventCount = 9;
 
@@ -43,6 +45,7 @@
 // state; `next` is unchanged then.
 bool next_state(CircuitState state, CircuitEvent event, CircuitState& next);
 
+// One circuit: its state, the call that is on it, and how each end blocks it.
 struct Circuit {
     CircuitState state = CircuitState::idle;
     CallRef call = kNoCall;
@@ -53,7 +56,8 @@
     std::uint64_t idle_order = 0;
 
     bool is_idle() const { return state == CircuitState::idle; }
-    // This end waits for a message from the far end, and frees the circuit itself if none comes.
+    // This end waits for a message from the far end. If none comes, a time limit or a restart of the link
+    // settles the state, so audits leave the circuit alone.
     bool is_transient() const {
         return state == CircuitState::seizing || state == CircuitState::yielding ||
                state == CircuitState::releasing || state == CircuitState::resetting ||
@@ -77,6 +81,7 @@
     // Applies `event`; `call` is the call that has the circuit afterwards. False if the event is not allowed
     // in the circuit's state; nothing changes then.
     bool apply(CircuitNumber number, CircuitEvent event, CallRef call);
+    // Sets how this end, or the far end, blocks the circuit; the call on it is not changed.
     void block_here(CircuitNumber number, Blocking blocking) {
         circuits_[index(number)].blocked_here = blocking;
     }
--- a/src/trunk/glare.hpp
+++ b/src/trunk/glare.hpp
@@ -16,8 +16,8 @@
 CircuitNumber lowest_contested_circuit(const CircuitList& ours, const CircuitList& theirs);
 
 // Of two seizures that crossed: whether this end's wins. The lowest contested circuit decides for the whole
-// seizure. Decided circuit by circuit, two wide calls could each win one circuit and lose another, and both
-// would fail.
+// seizure. Decided circuit by circuit, two calls of several circuits each could both win one circuit and lose
+// another, and both would fail.
 bool our_seizure_wins(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs);
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/group.cpp
+++ b/src/trunk/group.cpp
@@ -43,8 +43,8 @@
 }
 
 const Leg* Group::leg(CallRef ref) const {
-    const auto at = legs_.find(ref);
-    return at == legs_.end() ? nullptr : &at->second;
+    const auto found = legs_.find(ref);
+    return found == legs_.end() ? nullptr : &found->second;
 }
 
 void Group::update_timers(const GroupRules& rules) {
@@ -67,17 +67,18 @@
         if (circuits_.at(n).call == ref) circuits_.apply(n, event, ref);
 }
 
-void Group::remove(Legs::iterator at, Effects& out) {
-    for (const CircuitNumber n : at->second.circuits)
-        if (circuits_.at(n).call == at->first) circuits_.apply(n, CircuitEvent::clear, kNoCall);
-    if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
-    legs_.erase(at);
+void Group::remove(Legs::iterator entry, Effects& out) {
+    for (const CircuitNumber n : entry->second.circuits)
+        if (circuits_.at(n).call == entry->first) circuits_.apply(n, CircuitEvent::clear, kNoCall);
+    if (entry->second.state == LegState::standing)
+        out.push_back(RemoveCall{{entry->first, entry->second.circuits}});
+    legs_.erase(entry);
 }
 
-void Group::report_end(Legs::iterator at, Reason reason, Effects& out) {
-    const Leg& leg = at->second;
+void Group::report_end(Legs::iterator entry, Reason reason, Effects& out) {
+    const Leg& leg = entry->second;
     if (awaits_far_end(leg.state)) return;  // its end was reported before
-    out.push_back(Ended{at->first, leg.call, leg.outgoing, leg.state == LegState::standing, reason});
+    out.push_back(Ended{entry->first, leg.call, leg.outgoing, leg.state == LegState::standing, reason});
 }
 
 // ---- At the start ----------------------------------------------------------------------------------
@@ -121,34 +122,35 @@
 }
 
 bool Group::answer(Instant now, CallRef ref, std::string description, Effects& out) {
-    const auto at = legs_.find(ref);
-    if (at == legs_.end() || at->second.state != LegState::incoming) return false;
+    const auto found = legs_.find(ref);
+    if (found == legs_.end() || found->second.state != LegState::incoming) return false;
     ++counts_.answered;
-    change_state(at->second, ref, LegState::standing, CircuitEvent::answer, now);
-    out.push_back(StoreCall{{ref, at->second.circuits}, at->second.call, false});
+    change_state(found->second, ref, LegState::standing, CircuitEvent::answer, now);
+    out.push_back(StoreCall{{ref, found->second.circuits}, found->second.call, false});
     out.push_back(Send{Answer{ref, std::move(description)}});
     return true;
 }
 
 void Group::release(Instant now, CallRef ref, Reason reason, Effects& out) {
-    const auto at = legs_.find(ref);
-    if (at == legs_.end() || awaits_far_end(at->second.state)) return;
+    const auto found = legs_.find(ref);
+    if (found == legs_.end() || awaits_far_end(found->second.state)) return;
     ++counts_.released;
     // An unanswered set-up of the far end is rejected in one message, without waiting for a confirmation. The
     // message frees the circuits at the far end, and any later seizure by this end follows it on the link.
-    if (at->second.state == LegState::incoming) {
-        remove(at, out);
+    if (found->second.state == LegState::incoming) {
+        remove(found, out);
         out.push_back(Send{Reject{ref, reason}});
         return;
     }
-    start_release(now, at, reason, out);
+    start_release(now, found, reason, out);
 }
 
 // Releases a call. Its circuits stay out of use until the far end confirms (Q.764, 2.3.1).
-void Group::start_release(Instant now, Legs::iterator at, Reason reason, Effects& out) {
-    if (at->second.state == LegState::standing) out.push_back(RemoveCall{{at->first, at->second.circuits}});
-    change_state(at->second, at->first, LegState::releasing, CircuitEvent::release, now);
-    out.push_back(Send{Release{at->first, reason}});
+void Group::start_release(Instant now, Legs::iterator entry, Reason reason, Effects& out) {
+    if (entry->second.state == LegState::standing)
+        out.push_back(RemoveCall{{entry->first, entry->second.circuits}});
+    change_state(entry->second, entry->first, LegState::releasing, CircuitEvent::release, now);
+    out.push_back(Send{Release{entry->first, reason}});
 }
 
 // ---- The link --------------------------------------------------------------------------------------
@@ -174,8 +176,8 @@
     last_far_reset_id_ = 0;
     audit_.clear();
     pending_resets_.clear();
-    for (auto at = legs_.begin(); at != legs_.end();) {
-        const auto leg = at++;
+    for (auto next = legs_.begin(); next != legs_.end();) {
+        const auto leg = next++;
         if (leg->second.state == LegState::standing) continue;
         report_end(leg, Reason::link_lost, out);
         legs_.erase(leg);
@@ -203,27 +205,27 @@
     for (const auto& [ref, leg] : legs_)
         if (is_unanswered(leg.state)) unanswered.push_back(ref);
     for (const CallRef ref : unanswered) {
-        const auto at = legs_.find(ref);
-        report_end(at, Reason::link_lost, out);
-        start_release(now, at, Reason::link_lost, out);
+        const auto found = legs_.find(ref);
+        report_end(found, Reason::link_lost, out);
+        start_release(now, found, Reason::link_lost, out);
     }
 }
 
 const char* Group::receive(Instant now, const Message& message, Effects& out) {
     if (!synced_ && !std::holds_alternative<Claims>(message)) return "a message before the claims";
-    return std::visit([&](const auto& m) { return on(now, m, out); }, message);
+    return std::visit([&](const auto& m) { return handle(now, m, out); }, message);
 }
 
-const char* Group::on(Instant now, const Claims& m, Effects& out) {
+const char* Group::handle(Instant now, const Claims& m, Effects& out) {
     if (synced_) return "claims on a link that has not restarted";
     if (const char* error = find_error(m, circuits_.size())) return error;
     const Reconciliation result = reconcile(claims(), m.calls);
     counts_.recovered += result.kept.size();
     counts_.not_recovered += result.only_ours.size();
     for (const CallRef ref : result.only_ours) {
-        const auto at = legs_.find(ref);
-        report_end(at, Reason::cut, out);
-        remove(at, out);
+        const auto found = legs_.find(ref);
+        report_end(found, Reason::cut, out);
+        remove(found, out);
     }
     for (CircuitNumber n = 1; n <= circuits_.size(); ++n)
         if (circuits_.at(n).state == CircuitState::unsure) circuits_.apply(n, CircuitEvent::clear, kNoCall);
@@ -245,8 +247,8 @@
         if (const Circuit& c = circuits_.at(n); c.state == CircuitState::seizing) crossed.insert(c.call);
     bool far_end_wins = true;
     // A seizure of this end that has already yielded to another one is compared all the same. The far end
-    // compares this pair too, and where this end's seizure wins it gives up its own one, which must then not
-    // be accepted here.
+    // compares this pair too. Where this end's seizure wins, the far end treats its own as lost, so it must
+    // not be accepted here.
     std::erase_if(yielding_, [&](CallRef ref) {
         const Leg* yielded = leg(ref);
         if (!yielded || yielded->state != LegState::yielding) return true;
@@ -257,21 +259,21 @@
     });
     for (const CallRef ref : crossed) {
         ++counts_.glares;
-        const auto at = legs_.find(ref);
-        if (rules_.glare_rule(rules_.point_codes, at->second.circuits, m.circuits)) {
+        const auto found = legs_.find(ref);
+        if (rules_.glare_rule(rules_.point_codes, found->second.circuits, m.circuits)) {
             far_end_wins = false;
             continue;
         }
         ++counts_.glares_lost;
         avoid_ = m.circuits;
-        report_end(at, Reason::glare, out);
-        change_state(at->second, ref, LegState::yielding, CircuitEvent::yield, now);
+        report_end(found, Reason::glare, out);
+        change_state(found->second, ref, LegState::yielding, CircuitEvent::yield, now);
         yielding_.insert(ref);
     }
     return far_end_wins;
 }
 
-const char* Group::on(Instant now, const Seize& m, Effects& out) {
+const char* Group::handle(Instant now, const Seize& m, Effects& out) {
     if (is_ours(m.call)) return "a seizure with a reference of the receiving end";
     if (!all_exist(m.circuits)) return "a seizure of a circuit that does not exist";
     // A repeated message. Without this check an ended call would exist again, at this end alone.
@@ -307,88 +309,88 @@
     return nullptr;
 }
 
-const char* Group::on(Instant now, const Accept& m, Effects& out) {
+const char* Group::handle(Instant now, const Accept& m, Effects& out) {
     if (!is_ours(m.call)) return "an acceptance of the sender's own seizure";
-    const auto at = legs_.find(m.call);
-    if (at == legs_.end() || at->second.state == LegState::yielding) {
+    const auto found = legs_.find(m.call);
+    if (found == legs_.end() || found->second.state == LegState::yielding) {
         // This end no longer has the call, so the far end must not hold circuits for it.
         ++counts_.contradictions;
-        if (at != legs_.end()) at->second.state = LegState::releasing, at->second.since = now;
+        if (found != legs_.end()) found->second.state = LegState::releasing, found->second.since = now;
         out.push_back(Send{Release{m.call, Reason::normal}});
         return nullptr;
     }
-    if (at->second.state == LegState::seizing)
-        change_state(at->second, m.call, LegState::proceeding, CircuitEvent::accept, now);
+    if (found->second.state == LegState::seizing)
+        change_state(found->second, m.call, LegState::proceeding, CircuitEvent::accept, now);
     return nullptr;
 }
 
-const char* Group::on(Instant now, const Reject& m, Effects& out) {
+const char* Group::handle(Instant now, const Reject& m, Effects& out) {
     if (!is_ours(m.call)) return "a rejection of the sender's own seizure";
-    const auto at = legs_.find(m.call);
-    if (at == legs_.end()) return nullptr;
+    const auto found = legs_.find(m.call);
+    if (found == legs_.end()) return nullptr;
     if (m.reason == Reason::not_idle || m.reason == Reason::unusable) {
-        avoid_ = at->second.circuits;
+        avoid_ = found->second.circuits;
         audit_.start_now(now);
     }
-    report_end(at, at->second.state == LegState::standing ? Reason::cut : m.reason, out);
-    remove(at, out);
+    report_end(found, found->second.state == LegState::standing ? Reason::cut : m.reason, out);
+    remove(found, out);
     return nullptr;
 }
 
-const char* Group::on(Instant now, const Answer& m, Effects& out) {
+const char* Group::handle(Instant now, const Answer& m, Effects& out) {
     if (!is_ours(m.call)) return "an answer to the sender's own seizure";
-    const auto at = legs_.find(m.call);
-    if (at == legs_.end()) {
+    const auto found = legs_.find(m.call);
+    if (found == legs_.end()) {
         ++counts_.contradictions;
         out.push_back(Send{Release{m.call, Reason::normal}});
         return nullptr;
     }
-    if (at->second.state == LegState::seizing) return "an answer before the acceptance";
-    if (at->second.state != LegState::proceeding) return nullptr;  // it crossed a release, or is a repeat
+    if (found->second.state == LegState::seizing) return "an answer before the acceptance";
+    if (found->second.state != LegState::proceeding) return nullptr;  // it crossed a release, or is a repeat
     ++counts_.answered;
-    change_state(at->second, m.call, LegState::standing, CircuitEvent::answer, now);
-    out.push_back(StoreCall{{m.call, at->second.circuits}, at->second.call, true});
-    out.push_back(Answered{m.call, at->second.call, m.description});
+    change_state(found->second, m.call, LegState::standing, CircuitEvent::answer, now);
+    out.push_back(StoreCall{{m.call, found->second.circuits}, found->second.call, true});
+    out.push_back(Answered{m.call, found->second.call, m.description});
     return nullptr;
 }
 
 // ---- Release and reset -----------------------------------------------------------------------------
 
-const char* Group::on(Instant, const Release& m, Effects& out) {
-    if (const auto at = legs_.find(m.call); at != legs_.end()) {
-        report_end(at, m.reason, out);
-        remove(at, out);
+const char* Group::handle(Instant, const Release& m, Effects& out) {
+    if (const auto found = legs_.find(m.call); found != legs_.end()) {
+        report_end(found, m.reason, out);
+        remove(found, out);
     }
     out.push_back(Send{ReleaseComplete{m.call}});
     return nullptr;
 }
 
-const char* Group::on(Instant, const ReleaseComplete& m, Effects& out) {
-    const auto at = legs_.find(m.call);
-    if (at != legs_.end() && at->second.state == LegState::releasing) remove(at, out);
+const char* Group::handle(Instant, const ReleaseComplete& m, Effects& out) {
+    const auto found = legs_.find(m.call);
+    if (found != legs_.end() && found->second.state == LegState::releasing) remove(found, out);
     return nullptr;
 }
 
-// Ends all calls on these circuits. If a wide call has other circuits as well, the far end may still hold
+// Ends all calls on these circuits. If such a call has other circuits as well, the far end may still hold
 // those: the call is released, and they stay out of use until the far end confirms.
 void Group::end_calls_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out) {
     std::set<CallRef> calls;
     for (const CircuitNumber n : circuits)
         if (const CallRef ref = circuits_.at(n).call; ref != kNoCall) calls.insert(ref);
     for (const CallRef ref : calls) {
-        const auto at = legs_.find(ref);
-        if (at == legs_.end()) continue;
-        const CircuitList& own = at->second.circuits;
+        const auto found = legs_.find(ref);
+        if (found == legs_.end()) continue;
+        const CircuitList& own = found->second.circuits;
         const bool covers_all = std::includes(circuits.begin(), circuits.end(), own.begin(), own.end());
-        report_end(at, reason, out);
-        if (!covers_all && !awaits_far_end(at->second.state))
-            start_release(now, at, reason, out);
+        report_end(found, reason, out);
+        if (!covers_all && !awaits_far_end(found->second.state))
+            start_release(now, found, reason, out);
         else if (covers_all)
-            remove(at, out);
+            remove(found, out);
     }
 }
 
-const char* Group::on(Instant now, const Reset& m, Effects& out) {
+const char* Group::handle(Instant now, const Reset& m, Effects& out) {
     if (!all_exist(m.circuits)) return "a reset of a circuit that does not exist";
     out.push_back(Send{ResetDone{m.id, m.circuits}});
     if (m.id <= last_far_reset_id_) return nullptr;  // a repeat; the calls on the circuits now are newer
@@ -399,7 +401,7 @@
     return nullptr;
 }
 
-const char* Group::on(Instant, const ResetDone& m, Effects&) {
+const char* Group::handle(Instant, const ResetDone& m, Effects&) {
     const auto pending = pending_resets_.find(m.id);
     if (pending == pending_resets_.end() || pending->second.circuits != m.circuits)
         return nullptr;  // a repeat
@@ -450,14 +452,14 @@
     if (known.empty()) return;
     out.push_back(Send{Block{false, blocking, known}});  // if the link restarts, the claims report it
     for (const CallRef ref : to_cut) {
-        const auto at = legs_.find(ref);
-        if (at == legs_.end() || awaits_far_end(at->second.state)) continue;
-        report_end(at, Reason::cut, out);
-        start_release(now, at, Reason::cut, out);
+        const auto found = legs_.find(ref);
+        if (found == legs_.end() || awaits_far_end(found->second.state)) continue;
+        report_end(found, Reason::cut, out);
+        start_release(now, found, Reason::cut, out);
     }
 }
 
-const char* Group::on(Instant, const Block& m, Effects& out) {
+const char* Group::handle(Instant, const Block& m, Effects& out) {
     if (!all_exist(m.circuits)) return "blocking of a circuit that does not exist";
     if (m.is_acknowledgement) return nullptr;
     for (const CircuitNumber n : m.circuits) circuits_.block_there(n, m.blocking);
@@ -465,7 +467,7 @@
     return nullptr;
 }
 
-const char* Group::on(Instant, const Query& m, Effects& out) {
+const char* Group::handle(Instant, const Query& m, Effects& out) {
     if (!circuits_.exists(m.first) || m.count < 1 || !circuits_.exists(m.first + m.count - 1))
         return "a query about a circuit that does not exist";
     QueryResponse response{m.id, m.first, {}};
@@ -475,7 +477,7 @@
     return nullptr;
 }
 
-const char* Group::on(Instant now, const QueryResponse& m, Effects& out) {
+const char* Group::handle(Instant now, const QueryResponse& m, Effects& out) {
     const std::vector<CircuitNumber> stuck = audit_.evaluate(m, circuits_);
     if (stuck.empty()) return nullptr;
     for (const CircuitNumber n : stuck) {
@@ -511,8 +513,8 @@
         holds_calls_ = false;
         // Calls must not stand for ever on a link that does not come back. The far end has its own time limit
         // and may still hold these calls, so the link may not be resumed.
-        for (auto at = legs_.begin(); at != legs_.end();) {
-            const auto leg = at++;
+        for (auto next = legs_.begin(); next != legs_.end();) {
+            const auto leg = next++;
             report_end(leg, Reason::cut, out);
             if (leg->second.state == LegState::standing)
                 out.push_back(RemoveCall{{leg->first, leg->second.circuits}});
@@ -526,8 +528,8 @@
     }
     if (!synced_) return;
     CircuitList timed_out;
-    for (auto at = legs_.begin(); at != legs_.end();) {
-        const auto leg = at++;
+    for (auto next = legs_.begin(); next != legs_.end();) {
+        const auto leg = next++;
         if (!awaits_far_end(leg->second.state) || now < leg->second.since + rules_.release_guard) continue;
         ++counts_.release_timeouts;
         for (const CircuitNumber n : leg->second.circuits)
@@ -537,8 +539,8 @@
     std::sort(timed_out.begin(), timed_out.end());
     if (!timed_out.empty()) send_reset(now, std::move(timed_out), out);
     std::vector<CircuitList> to_repeat;
-    for (auto at = pending_resets_.begin(); at != pending_resets_.end();) {
-        const auto reset = at++;
+    for (auto next = pending_resets_.begin(); next != pending_resets_.end();) {
+        const auto reset = next++;
         if (now < reset->second.sent_at + rules_.reset_repeat_interval) continue;
         CircuitList unconfirmed;
         for (const CircuitNumber n : reset->second.circuits)
@@ -578,7 +580,7 @@
 
 void Group::inject_memory_loss(CallRef ref) {
     Effects ignored;
-    if (const auto at = legs_.find(ref); at != legs_.end()) remove(at, ignored);
+    if (const auto found = legs_.find(ref); found != legs_.end()) remove(found, ignored);
 }
 
 }  // namespace nettlestall::trunk
--- a/src/trunk/group.hpp
+++ b/src/trunk/group.hpp
@@ -25,6 +25,7 @@
 // Whether this end's seizure wins a dual seizure.
 using GlareRule = bool (*)(const PointCodes& point_codes, const CircuitList& ours, const CircuitList& theirs);
 
+// The settings of one end of a group.
 struct GroupRules {
     PointCodes point_codes{};
     int circuits = 1;
@@ -39,6 +40,7 @@
     Duration link_down_hold = std::chrono::seconds(30);
 };
 
+// State of a call on the group. The values have the same meaning as in CircuitState.
 enum class LegState : std::uint8_t { seizing, proceeding, incoming, standing, yielding, releasing };
 // The state's name in lower case.
 std::string_view name_of(LegState state);
@@ -104,14 +106,22 @@
                             FreedByAudit, RestartLink>;
 using Effects = std::vector<Effect>;
 
+// Events at this end since the group was created.
 struct GroupCounts {
+    // Seizures by this end; seizures by the far end that were accepted here; seizures by this end that
+    // crossed one by the far end, and those of them that lost; seizures by the far end that were rejected
+    // here; set-ups for which too few circuits were free.
     std::uint64_t seizures = 0, seizures_accepted = 0, glares = 0, glares_lost = 0, rejected = 0,
                   no_circuit = 0;
+    // Calls of either direction that were answered; calls that this end released; resets by the far end;
+    // circuits freed by audits; standing calls that a restart of the link has kept, and that it has cut.
     std::uint64_t answered = 0, released = 0, resets = 0, audit_freed = 0, recovered = 0, not_recovered = 0;
     std::uint64_t contradictions = 0;    // messages that do not fit what this end knows of its circuits
     std::uint64_t release_timeouts = 0;  // releases that were not confirmed within the release guard
 };
 
+// One end of a circuit group. Functions with a parameter `out` append to it the effects that the owner has to
+// carry out.
 class Group {
    public:
     // `incarnation` must differ from one start of this end to the next; its lower 31 bits count.
@@ -122,6 +132,7 @@
     // ---- At the start, from a ledger
     // Restores a standing call. False if one of its circuits does not exist or belongs to another call.
     bool restore(const Claim& claim, const CallId& call, bool outgoing, Instant now);
+    // Restores how this end blocks a circuit; ignored if there is no such circuit.
     void restore(CircuitNumber circuit, Blocking blocking);
 
     // ---- Calls
@@ -135,7 +146,10 @@
     void release(Instant now, CallRef ref, Reason reason, Effects& out);
 
     // ---- The link
+    // The link is up. Unless it was resumed, all calls but the standing ones end, and the standing ones are
+    // claimed.
     void link_up(Instant now, bool resumed, Effects& out);
+    // The link is down: unanswered calls end, standing calls are held for GroupRules::link_down_hold.
     void link_down(Instant now, Effects& out);
     // Processes a message. Null if it was accepted, else an error text: a correct far end never sends such a
     // message, its connection is to be closed, and nothing has changed here.
@@ -147,6 +161,7 @@
     // Resets circuits together with all circuits of the calls on them. Ignored while the group is out of
     // service.
     void reset(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
+    // Starts to audit the whole group at once.
     void audit_now(Instant now);
 
     // Runs the timers that have expired.
@@ -165,7 +180,8 @@
     const GroupRules& rules() const { return rules_; }
     const GroupCounts& counts() const { return counts_; }
     const Audit& audits() const { return audit_; }
-    // Applies the time limits and audit rules of reloaded settings; the other rules stay.
+    // Applies the time limits and audit rules of reloaded settings. Point codes, number of circuits, hunting
+    // and glare rule stay.
     void update_timers(const GroupRules& rules);
 
     // A text of everything that decides the further behaviour, with times relative to `now`. Equal texts mean
@@ -177,18 +193,19 @@
    private:
     using Legs = std::map<CallRef, Leg>;
 
-    const char* on(Instant now, const Seize& m, Effects& out);
-    const char* on(Instant now, const Accept& m, Effects& out);
-    const char* on(Instant now, const Reject& m, Effects& out);
-    const char* on(Instant now, const Answer& m, Effects& out);
-    const char* on(Instant now, const Release& m, Effects& out);
-    const char* on(Instant now, const ReleaseComplete& m, Effects& out);
-    const char* on(Instant now, const Reset& m, Effects& out);
-    const char* on(Instant now, const ResetDone& m, Effects& out);
-    const char* on(Instant now, const Block& m, Effects& out);
-    const char* on(Instant now, const Query& m, Effects& out);
-    const char* on(Instant now, const QueryResponse& m, Effects& out);
-    const char* on(Instant now, const Claims& m, Effects& out);
+    // One function per message; they return what receive() returns.
+    const char* handle(Instant now, const Seize& m, Effects& out);
+    const char* handle(Instant now, const Accept& m, Effects& out);
+    const char* handle(Instant now, const Reject& m, Effects& out);
+    const char* handle(Instant now, const Answer& m, Effects& out);
+    const char* handle(Instant now, const Release& m, Effects& out);
+    const char* handle(Instant now, const ReleaseComplete& m, Effects& out);
+    const char* handle(Instant now, const Reset& m, Effects& out);
+    const char* handle(Instant now, const ResetDone& m, Effects& out);
+    const char* handle(Instant now, const Block& m, Effects& out);
+    const char* handle(Instant now, const Query& m, Effects& out);
+    const char* handle(Instant now, const QueryResponse& m, Effects& out);
+    const char* handle(Instant now, const Claims& m, Effects& out);
 
     // Whether this end assigned the reference.
     bool is_ours(CallRef ref) const { return ((ref >> 63) != 0) == rules_.point_codes.own_is_higher(); }
@@ -196,13 +213,18 @@
     // Changes a call's state and applies `event` to its circuits.
     void change_state(Leg& leg, CallRef ref, LegState to, CircuitEvent event, Instant now);
     // Reports the end of a call, unless it was reported when this end released the call or yielded.
-    void report_end(Legs::iterator at, Reason reason, Effects& out);
+    void report_end(Legs::iterator entry, Reason reason, Effects& out);
     // Removes a call and clears its circuits.
-    void remove(Legs::iterator at, Effects& out);
-    void start_release(Instant now, Legs::iterator at, Reason reason, Effects& out);
+    void remove(Legs::iterator entry, Effects& out);
+    // Releases a call. Its circuits stay out of use until the far end confirms.
+    void start_release(Instant now, Legs::iterator entry, Reason reason, Effects& out);
+    // Ends all calls that have one of these circuits.
     void end_calls_on(Instant now, const CircuitList& circuits, Reason reason, Effects& out);
+    // Resets circuits, and keeps the reset until the far end confirms it.
     void send_reset(Instant now, CircuitList circuits, Effects& out);
+    // Settles the glares between the far end's seizure and this end's. False if a seizure of this end wins.
     bool resolve_glare(Instant now, const Seize& m, Effects& out);
+    // The standing calls.
     std::vector<Claim> claims() const;
 
     GroupRules rules_;
@@ -225,8 +247,8 @@
     // ones are repeats.
     CallRef last_far_ref_ = kNoCall;
     std::uint32_t last_far_reset_id_ = 0;
-    // Circuits that the next set-up avoids: those of the last glare lost here or of the last rejected
-    // seizure.
+    // Circuits that the next set-up avoids: those that the far end seized in the last glare lost here, or
+    // those of this end's last seizure that was rejected as not idle or unusable.
     CircuitList avoid_;
 };
 
--- a/src/trunk/messages.cpp
+++ b/src/trunk/messages.cpp
@@ -13,7 +13,7 @@
     "seize", "accept",     "reject", "answer", "release",        "release complete",
     "reset", "reset done", "block",  "query",  "query response", "claims"};
 
-// Appends fields to a text.
+// Appends fields to a byte string. Numbers are big-endian, as wide as their type.
 class Writer {
    public:
     template <class T>
@@ -108,6 +108,7 @@
     bool ok_ = true;
 };
 
+// The fields of each message, in the order in which they are sent.
 void write(Writer& w, const Seize& m) {
     const CallData& d = m.data;
     w.number(m.call).circuits(m.circuits).text(d.call).text(d.service_class).text(d.number);
@@ -152,6 +153,7 @@
     for (const auto& [circuit, blocking] : m.blocked) w.u16(circuit).u8(static_cast<int>(blocking));
 }
 
+// The reverse of write(): each reads the fields in the same order. Malformed fields set the reader to fail.
 void read(Reader& r, Seize& m) {
     m.call = r.call(), m.circuits = r.circuits(kMaxCircuitsPerCall);
     CallData& d = m.data;
@@ -195,11 +197,13 @@
         m.calls.push_back(r.call());
 }
 void read(Reader& r, Claims& m) {
+    // A claim takes at least 12 bytes: its reference, the number of its circuits and one circuit.
     for (int remaining = r.entry_count(kMaxCircuitsPerGroup, 12); r.ok() && remaining > 0; --remaining) {
         Claim& claim = m.calls.emplace_back();
         claim.call = r.call(), claim.circuits = r.circuits(kMaxCircuitsPerCall);
         if (claim.call == kNoCall || claim.circuits.empty()) r.fail();
     }
+    // A blocked circuit takes 3 bytes: its number and how it is blocked.
     for (int remaining = r.entry_count(kMaxCircuitsPerGroup, 3); r.ok() && remaining > 0; --remaining) {
         const CircuitNumber circuit = r.circuit();
         m.blocked.emplace_back(circuit, r.blocking());
--- a/src/trunk/messages.hpp
+++ b/src/trunk/messages.hpp
@@ -104,9 +104,9 @@
 // The first frame of each connection: what both ends must agree on, and where the link can be resumed.
 struct Hello {
     std::uint16_t version = kProtocolVersion;
-    PointCode point = 0, far_point = 0;
+    PointCode point = 0, far_point = 0;  // of the sender; of the far end, as the sender expects it
     std::uint32_t group = 0;
-    int circuits = 0;
+    int circuits = 0;                   // in the group
     std::uint32_t incarnation = 0;      // of the sender
     std::uint32_t far_incarnation = 0;  // of the far end, as the sender last knew it; zero: unknown
     std::uint32_t received = 0;         // sequence number last received in that incarnation of the far end
--- a/src/trunk/operator_commands.cpp
+++ b/src/trunk/operator_commands.cpp
@@ -29,10 +29,12 @@
     return value;
 }
 
+// As operators see it.
 const char* name_of(Blocking blocking) {
     return blocking == Blocking::hard ? "hard" : blocking == Blocking::soft ? "soft" : "no";
 }
 
+// 16 hex digits.
 std::string to_hex(CallRef ref) {
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(ref));
--- a/src/trunk/operator_commands.hpp
+++ b/src/trunk/operator_commands.hpp
@@ -23,6 +23,7 @@
 // std::nullopt if the text is not of that form.
 std::optional<CircuitList> parse_circuits(std::string_view text, int circuits);
 
+// Serves the paths above for all groups of a TrunkManager.
 class OperatorCommands {
    public:
     using Clock = TrunkManager::Clock;
@@ -35,8 +36,10 @@
     std::string metrics() const;
 
    private:
+    // The bodies of GET /circuits and GET /circuits/GROUP.
     std::string list_groups() const;
     std::string list_circuits(const TrunkManager::Trunk& trunk, bool all) const;
+    // `command` is block, unblock, reset or audit.
     protocol::OperatorReply run_command(TrunkManager::Trunk& trunk, std::string_view command,
                                         std::string_view query);
 
--- a/src/trunk/recovery.hpp
+++ b/src/trunk/recovery.hpp
@@ -10,6 +10,7 @@
 
 namespace nettlestall::trunk {
 
+// The result of comparing the claims of both ends.
 struct Reconciliation {
     std::vector<CallRef> kept;         // both ends have them, on the same circuits
     std::vector<CallRef> only_ours;    // only this end has them: they are cut here
--- a/src/trunk/session.hpp
+++ b/src/trunk/session.hpp
@@ -20,6 +20,7 @@
     int circuits = 0;
 };
 
+// Receives the events of a link.
 class LinkEvents {
    public:
     // The hellos have been exchanged. `resumed`: no message of either end is lost. Otherwise one of the ends
@@ -39,17 +40,18 @@
                   mismatched = 0;
 };
 
+// One end of a link. A driver passes it the bytes of one connection after another and writes its output.
 class Session {
    public:
-    // Messages that the far end has not confirmed. Beyond this the link restarts, so that a far end that
-    // never confirms does not fill the memory.
+    // Limit of the encoded messages that are kept until the far end confirms them. Beyond it the link
+    // restarts, so that a far end that never confirms does not fill the memory.
     static constexpr std::size_t kMaxUnconfirmedBytes = 4 * 1024 * 1024;
 
     Session(const LinkIdentity& identity, std::uint32_t incarnation, LinkEvents& events);
 
     // Only before the first connection.
     void set_incarnation(std::uint32_t incarnation) { incarnation_ = incarnation; }
-    // A connection is open: this end's hello is put out.
+    // A connection is open: the output is this end's hello.
     void connected();
     // The connection is gone or is about to be closed.
     void disconnected();
@@ -68,6 +70,7 @@
     bool is_connected() const { return connected_; }
     // Connected, and the hellos have been exchanged.
     bool is_up() const { return up_; }
+    // The bytes to write to the connection, which are then removed from the session.
     std::string take_output() { return std::exchange(output_, {}); }
     bool has_output() const { return !output_.empty(); }
     const LinkCounts& counts() const { return counts_; }
@@ -80,7 +83,9 @@
     bool handle_hello(const Hello& hello);
     bool handle_confirmation(std::uint32_t received);
     bool handle_message(const NumberedMessage& numbered);
-    bool fail(std::string why, bool notify_far_end);  // always false
+    // Keeps `why` as the reason for closing, and sends it to the far end if `notify_far_end`. Always false.
+    bool fail(std::string why, bool notify_far_end);
+
     void write_numbered(const Message& message, std::uint32_t sequence);
     void reset_numbering();
 
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -26,18 +26,18 @@
 // In a query response, in place of a reference: the circuit waits for a message from the other end.
 constexpr CallRef kTransient = ~CallRef{0};
 
-// The point codes of a group, as one of its ends sees them.
+// The point codes of the two ends of a group, as one of them sees them.
 struct PointCodes {
     PointCode own = 1, far = 2;
     bool own_is_higher() const { return own > far; }
 };
 
-// Why a seizure failed or a call ended.
+// Why a seizure failed or a call ended. The values are sent to the far end.
 enum class Reason : std::uint8_t {
     normal = 0,     // the call ended normally, or its set-up was cancelled
     glare = 1,      // the seizure lost a dual seizure (Q.764, 2.9.1); the call never reached the far hub
-    not_idle = 2,   // a circuit of it is not idle at the far end; the call never reached the far hub
-    unusable = 3,   // a circuit of it is blocked or does not exist there; the call never reached the far hub
+    not_idle = 2,   // one of its circuits is not idle at the far end; the call never reached the far hub
+    unusable = 3,   // one of its circuits is blocked at the far end; the call never reached the far hub
     refused = 4,    // by the far end's decision module; the set-up may safely be tried again
     failed = 5,     // at the far end
     cut = 6,        // the call had been answered and was cut off
@@ -50,9 +50,9 @@
 struct CallData {
     CallId call{};  // 16 hex digits, the same at both ends
     std::string service_class{}, number{}, description{};
-    int destination = kNoExchange;
-    int via = kNoExchange;  // exchange number of the hub that sends it
-    Duration time_limit{};  // until the sender cancels the set-up
+    int destination = kNoExchange;  // exchange number
+    int via = kNoExchange;          // exchange number of the hub that sends it
+    Duration time_limit{};          // until the sender cancels the set-up
     bool was_cut = false, redial = false;
 };
 
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -31,6 +31,7 @@
     return {Outcome::reset, Cause::none};
 }
 
+// The reason that the far end is given when the call table releases one of its calls.
 Reason to_reason(ReleaseReason reason) {
     switch (reason) {
         case ReleaseReason::refused:
@@ -58,7 +59,7 @@
 
 CallRef TrunkManager::Trunk::ref_of(const CallId& call) const {
     for (const auto* calls : {&outgoing_, &incoming_})
-        if (const auto at = calls->find(call); at != calls->end()) return at->second;
+        if (const auto found = calls->find(call); found != calls->end()) return found->second;
     return kNoCall;
 }
 
@@ -140,16 +141,16 @@
 }
 
 void TrunkManager::Trunk::notify_table(const Answered& effect) {
-    const auto at = outgoing_.find(effect.call);
-    if (at == outgoing_.end() || at->second != effect.ref) return;
+    const auto found = outgoing_.find(effect.call);
+    if (found == outgoing_.end() || found->second != effect.ref) return;
     manager_.switches_.on_answer(settings_.exchange, effect.call, effect.description);
 }
 
 void TrunkManager::Trunk::notify_table(const Ended& effect) {
     auto& calls = effect.outgoing ? outgoing_ : incoming_;
-    const auto at = calls.find(effect.call);
-    if (at == calls.end() || at->second != effect.ref) return;
-    calls.erase(at);
+    const auto found = calls.find(effect.call);
+    if (found == calls.end() || found->second != effect.ref) return;
+    calls.erase(found);
     if (!effect.outgoing) return manager_.callers_.on_release(*this, effect.call);
     if (effect.reason == Reason::glare && manager_.glare_lost_) manager_.glare_lost_(*this, effect.call);
     // Any refusal counts as the far hub's own, since only that hub knows whether it was the call's
@@ -178,28 +179,28 @@
 }
 
 void TrunkManager::Trunk::release_outgoing(const CallId& call, Reason reason) {
-    const auto at = outgoing_.find(call);
-    if (at == outgoing_.end()) return;
-    const CallRef ref = at->second;
-    outgoing_.erase(at);
+    const auto found = outgoing_.find(call);
+    if (found == outgoing_.end()) return;
+    const CallRef ref = found->second;
+    outgoing_.erase(found);
     Effects effects;
     group_.release(manager_.now_(), ref, reason, effects);
     carry_out(std::move(effects));
 }
 
 void TrunkManager::Trunk::answer(const CallId& call, Description description) {
-    const auto at = incoming_.find(call);
-    if (at == incoming_.end()) return;
+    const auto found = incoming_.find(call);
+    if (found == incoming_.end()) return;
     Effects effects;
-    group_.answer(manager_.now_(), at->second, *description, effects);
+    group_.answer(manager_.now_(), found->second, *description, effects);
     carry_out(std::move(effects));
 }
 
 void TrunkManager::Trunk::release(const CallId& call, ReleaseReason reason) {
-    const auto at = incoming_.find(call);
-    if (at == incoming_.end()) return;
-    const CallRef ref = at->second;
-    incoming_.erase(at);
+    const auto found = incoming_.find(call);
+    if (found == incoming_.end()) return;
+    const CallRef ref = found->second;
+    incoming_.erase(found);
     Effects effects;
     group_.release(manager_.now_(), ref, to_reason(reason), effects);
     carry_out(std::move(effects));
@@ -261,23 +262,24 @@
     for (const auto& [ref, leg] : group_.legs()) {
         if (leg.state == LegState::yielding || leg.state == LegState::releasing) continue;
         const auto& calls = leg.outgoing ? outgoing_ : incoming_;
-        const auto at = calls.find(leg.call);
+        const auto found = calls.find(leg.call);
         const ExchangeId* exchange = manager_.table_.exchange_of(leg.call);
-        const bool is_known = at != calls.end() && at->second == ref && exchange &&
+        const bool is_known = found != calls.end() && found->second == ref && exchange &&
                               (!leg.outgoing || *exchange == settings_.exchange);
         if (!is_known) only_in_group.emplace_back(leg.call, ref);
     }
     for (const auto& [call, ref] : only_in_group) {
         ++manager_.counts_.only_in_group;
         for (auto* calls : {&outgoing_, &incoming_})
-            if (const auto at = calls->find(call); at != calls->end() && at->second == ref) calls->erase(at);
+            if (const auto found = calls->find(call); found != calls->end() && found->second == ref)
+                calls->erase(found);
         Effects effects;
         group_.release(manager_.now_(), ref, Reason::cut, effects);
         carry_out(std::move(effects));
     }
     const auto is_held = [this](const std::map<CallId, CallRef>& calls, const CallId& call) {
-        const auto at = calls.find(call);
-        return at != calls.end() && group_.leg(at->second);
+        const auto found = calls.find(call);
+        return found != calls.end() && group_.leg(found->second);
     };
     for (const CallId& call : manager_.table_.calls_at(settings_.exchange)) {
         if (is_held(outgoing_, call)) continue;
@@ -360,8 +362,8 @@
 }
 
 TrunkManager::Trunk* TrunkManager::find(std::uint32_t group) const {
-    const auto at = trunks_.find(group);
-    return at == trunks_.end() ? nullptr : at->second.get();
+    const auto found = trunks_.find(group);
+    return found == trunks_.end() ? nullptr : found->second.get();
 }
 
 ListEvent TrunkManager::with_far_hubs(ListEvent event) const {
@@ -407,17 +409,18 @@
     if (Trunk* const trunk = find(group)) trunk->group_.restore(circuit, blocking);
 }
 
-void TrunkManager::set_up(const ExchangeId& at, const OutgoingSetUp& request) {
-    if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end()) trunk->second->set_up(request);
+void TrunkManager::set_up(const ExchangeId& exchange, const OutgoingSetUp& request) {
+    if (const auto trunk = by_exchange_.find(exchange); trunk != by_exchange_.end())
+        trunk->second->set_up(request);
 }
 
-void TrunkManager::cancel(const ExchangeId& at, const CallId& call) {
-    if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
+void TrunkManager::cancel(const ExchangeId& exchange, const CallId& call) {
+    if (const auto trunk = by_exchange_.find(exchange); trunk != by_exchange_.end())
         trunk->second->release_outgoing(call, Reason::normal);
 }
 
-void TrunkManager::release(const ExchangeId& at, const CallId& call) {
-    if (const auto trunk = by_exchange_.find(at); trunk != by_exchange_.end())
+void TrunkManager::release(const ExchangeId& exchange, const CallId& call) {
+    if (const auto trunk = by_exchange_.find(exchange); trunk != by_exchange_.end())
         trunk->second->release_outgoing(call, Reason::normal);
 }
 
--- a/src/trunk/trunk_manager.hpp
+++ b/src/trunk/trunk_manager.hpp
@@ -16,8 +16,9 @@
 
 namespace nettlestall::trunk {
 
+// A circuit group of this hub: its far end and its rules.
 struct GroupSettings {
-    std::uint32_t id = 0;
+    std::uint32_t id = 0;      // the same at both ends
     ExchangeId exchange{};     // the far hub's id in the call table
     int number = kNoExchange;  // the far hub's exchange number
     std::string zone{};        // of the far hub
@@ -48,6 +49,7 @@
     virtual void store_blocking(std::uint32_t group, CircuitNumber circuit, Blocking blocking) = 0;
 };
 
+// Events on all groups since the start.
 struct TrunkManagerCounts {
     std::uint64_t offered = 0;  // calls that far hubs have set up
     // Calls that were released because only the group, or only the call table, had them.
@@ -61,6 +63,8 @@
 
     class Trunk;  // one circuit group and its link
 
+    // `own_number` is this hub's exchange number. `callers`, `switches` and `table` are the call table; all
+    // must outlive this object.
     TrunkManager(int own_number, Clock now, CallerEvents& callers, SwitchEvents& switches,
                  const CallTable& table);
     ~TrunkManager();
@@ -92,11 +96,14 @@
     // are left out. Returns the number of calls restored.
     std::size_t restore(const std::vector<LedgerCall>& calls,
                         const std::function<void(const LedgerCall&, CallerLink*)>& restore_in_table);
+    // Restores how this end blocks a circuit; ignored if there is no such group or circuit.
     void restore_blocked(std::uint32_t group, CircuitNumber circuit, Blocking blocking);
 
-    void set_up(const ExchangeId& at, const OutgoingSetUp& request) override;
-    void cancel(const ExchangeId& at, const CallId& call) override;
-    void release(const ExchangeId& at, const CallId& call) override;
+    // Switches: the call table's commands about calls to the far hub `exchange`. Ignored if no group leads
+    // there.
+    void set_up(const ExchangeId& exchange, const OutgoingSetUp& request) override;
+    void cancel(const ExchangeId& exchange, const CallId& call) override;
+    void release(const ExchangeId& exchange, const CallId& call) override;
 
     // `schedule` is called with the time at which run_timers() is needed, whenever that may have become
     // earlier.
@@ -109,6 +116,7 @@
     void on_glare_lost(std::function<void(const Trunk&, const CallId&)> glare_lost) {
         glare_lost_ = std::move(glare_lost);
     }
+    // Runs the timers that have expired, of all groups.
     void run_timers();
     // When the next timer expires; Instant::max() if none is running.
     Instant next_timer() const;
@@ -127,9 +135,9 @@
     std::function<void(Trunk&)> output_;
     std::function<void(const Trunk&, const FreedByAudit&)> freed_;
     std::function<void(const Trunk&, const CallId&)> glare_lost_;
-    std::map<std::uint32_t, std::unique_ptr<Trunk>> trunks_;
-    std::map<ExchangeId, Trunk*> by_exchange_;
-    std::vector<ListedExchange> lines_;
+    std::map<std::uint32_t, std::unique_ptr<Trunk>> trunks_;  // by group id
+    std::map<ExchangeId, Trunk*> by_exchange_;                // by the far hub's id
+    std::vector<ListedExchange> lines_;                       // this hub's own subscriber lines
     bool handed_over_ = false;
     TrunkManagerCounts counts_;
 };
@@ -143,6 +151,7 @@
     const GroupSettings& settings() const { return settings_; }
     const Group& group() const { return group_; }
     const Session& session() const { return session_; }
+    // The bytes to write to the connection; they are removed from the session.
     std::string take_output() { return session_.take_output(); }
 
     // The connection, as its driver reports it. receive_bytes() returns false if the connection is to be
@@ -161,7 +170,7 @@
     // For tests and the lab: see Group::inject_memory_loss().
     void inject_memory_loss(CallRef ref);
 
-    // kNoCall if the call is not on this group.
+    // The reference of a call on this group; kNoCall if the call is not on it.
     CallRef ref_of(const CallId& call) const;
 
     // CallerLink: what the call table decides about the far hub's calls.
@@ -169,6 +178,7 @@
     void release(const CallId& call, ReleaseReason reason) override;
     std::string_view origin() const override { return origin_; }
 
+    // LinkEvents.
     void link_up(bool resumed) override;
     const char* received(const Message& message) override;
 
@@ -195,8 +205,8 @@
     std::string origin_;
     Group group_;
     Session session_;
-    std::map<CallId, CallRef> outgoing_, incoming_;
-    int reported_free_ = -1;  // negative: nothing reported yet
+    std::map<CallId, CallRef> outgoing_, incoming_;  // calls on the group, by which end seized the circuits
+    int reported_free_ = -1;                         // negative: nothing reported yet
     Instant last_reconciled_{};
 };
 
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -16,6 +16,7 @@
 
 namespace {
 
+// A temporary folder, the ledger in it, and what the ledger has logged.
 struct Folder {
     std::string path = "/tmp/ledger_test." + std::to_string(getpid()) + '.' + std::to_string(++count());
     std::vector<std::string> log;
@@ -34,29 +35,30 @@
     }
 };
 
-const LedgerCall kOne{7, {1ull << 63 | 5, {1, 4}}, "00000000000000aa", true, "", "127.0.0.1"};
-const LedgerCall kTwo{7, {6, {2}}, "00000000000000bb", false, "lines-1", ""};
+const LedgerCall kOutgoingCall{7, {1ull << 63 | 5, {1, 4}}, "00000000000000aa", true, "", "127.0.0.1"};
+const LedgerCall kIncomingCall{7, {6, {2}}, "00000000000000bb", false, "lines-1", ""};
 
 void stored_entries_are_read_after_reopening() {
     Folder folder;
     {
         TrunkLedger ledger = folder.open();
         CHECK(ledger.is_open() && ledger.calls().empty() && ledger.next_incarnation(100) == 100);
-        ledger.store_call(kOne), ledger.store_call(kTwo);
+        ledger.store_call(kOutgoingCall), ledger.store_call(kIncomingCall);
         ledger.store_blocking(7, 3, trunk::Blocking::hard),
             ledger.store_blocking(7, 9, trunk::Blocking::soft);
         ledger.store_blocking(7, 9, trunk::Blocking::none);
     }
     TrunkLedger reopened = folder.open();
-    CHECK((reopened.calls() == std::vector<LedgerCall>{kOne, kTwo}) && reopened.next_incarnation(5) == 101);
+    CHECK((reopened.calls() == std::vector<LedgerCall>{kOutgoingCall, kIncomingCall}) &&
+          reopened.next_incarnation(5) == 101);
     CHECK(reopened.blocked().size() == 1 && reopened.blocked()[0].circuit == 3);
-    reopened.remove_call(7, kTwo.claim);
+    reopened.remove_call(7, kIncomingCall.claim);
     // A later call is stored for one of its circuits: the earlier call is no longer complete.
-    LedgerCall later = kTwo;
+    LedgerCall later = kIncomingCall;
     later.claim = {8, {4}};
     reopened.store_call(later);
     CHECK(reopened.calls() == std::vector<LedgerCall>{later});
-    reopened.remove_call(7, kOne.claim);  // leaves the entry of the later call alone
+    reopened.remove_call(7, kOutgoingCall.claim);  // leaves the entry of the later call alone
     CHECK(reopened.calls() == std::vector<LedgerCall>{later} && folder.log.empty());
 }
 
@@ -66,7 +68,7 @@
     Folder folder, copy;
     TrunkLedger ledger = folder.open();
     for (int i = 1; i <= 50; ++i) {
-        LedgerCall call = kTwo;
+        LedgerCall call = kIncomingCall;
         call.claim = {static_cast<trunk::CallRef>(i), {i}};
         ledger.store_call(call);
         if (i % 10) continue;
@@ -86,7 +88,7 @@
         {
             TrunkLedger ledger = folder.open();
             for (int i = 1; i <= 200; ++i) {
-                LedgerCall call = kTwo;
+                LedgerCall call = kIncomingCall;
                 call.claim = {static_cast<trunk::CallRef>(i), {i}};
                 ledger.store_call(call);
             }
@@ -96,7 +98,7 @@
         CHECK(folder.has_logged(expected) &&
               folder.has_logged("set aside as " + folder.file() + ".set-aside-1"));
         CHECK(ledger.is_open() && ledger.calls().empty() && fs::exists(folder.file() + ".set-aside-1"));
-        ledger.store_call(kOne);
+        ledger.store_call(kOutgoingCall);
         CHECK(ledger.calls().size() == 1);
     };
     const auto execute = [](const std::string& file, const char* statement) {
@@ -126,7 +128,7 @@
     TrunkLedger ledger("/nonexistent/folder", 10, [&log](const std::string& text) { log.push_back(text); });
     CHECK(!ledger.is_open() && log.size() == 1 &&
           log[0].find("nothing will be remembered") != std::string::npos);
-    ledger.store_call(kOne);
+    ledger.store_call(kOutgoingCall);
     CHECK(ledger.calls().empty() && ledger.next_incarnation(9) == 9);
 }
 
--- a/tests/trunk/ends.hpp
+++ b/tests/trunk/ends.hpp
@@ -14,6 +14,7 @@
 using namespace nettlestall::trunk;
 using namespace std::chrono_literals;
 
+// The link is up from the start. An end is named by its index, low or high.
 struct TwoEnds {
     enum { low, high };  // the low end controls odd circuits
 
@@ -36,15 +37,16 @@
     std::array<bool, 2> restarted{};                 // that end has asked for a restart of the link
     Instant now = 1000s;
 
-    std::size_t at(int e) const { return static_cast<std::size_t>(e); }
-    Group& end(int e) { return ends[at(e)]; }
-    std::deque<Message>& inbox(int e) { return in_transit[at(e)]; }
+    std::size_t index(int e) const { return static_cast<std::size_t>(e); }
+    Group& end(int e) { return ends[index(e)]; }
+    std::deque<Message>& inbox(int e) { return in_transit[index(e)]; }
 
     // Carries out the effects at end `e`: keeps the events as texts, and puts messages in transit.
     void carry_out(int e, const Effects& effects) {
-        auto& reported = events[at(e)];
+        auto& reported = events[index(e)];
         for (const Effect& effect : effects) {
-            if (const auto* send = std::get_if<Send>(&effect)) in_transit[at(1 - e)].push_back(send->message);
+            if (const auto* send = std::get_if<Send>(&effect))
+                in_transit[index(1 - e)].push_back(send->message);
             if (const auto* offered = std::get_if<Offered>(&effect))
                 reported.push_back("offered " + offered->data.call);
             if (const auto* answered = std::get_if<Answered>(&effect))
@@ -54,10 +56,10 @@
                                    std::to_string(static_cast<int>(ended->reason)));
             if (const auto* freed = std::get_if<FreedByAudit>(&effect))
                 reported.push_back("freed " + std::to_string(freed->circuit));
-            if (const auto* store = std::get_if<StoreCall>(&effect)) ledger[at(e)].push_back(store->claim);
+            if (const auto* store = std::get_if<StoreCall>(&effect)) ledger[index(e)].push_back(store->claim);
             if (const auto* remove = std::get_if<RemoveCall>(&effect))
-                std::erase_if(ledger[at(e)], [&](const Claim& c) { return c.call == remove->claim.call; });
-            if (std::holds_alternative<RestartLink>(effect)) restarted[at(e)] = true;
+                std::erase_if(ledger[index(e)], [&](const Claim& c) { return c.call == remove->claim.call; });
+            if (std::holds_alternative<RestartLink>(effect)) restarted[index(e)] = true;
         }
     }
     // Runs `action` with the group at end `e`, carries out its effects and returns its result.
@@ -97,12 +99,13 @@
     void link_down() {
         for (int e : {low, high}) run(e, [&](Group& g, Effects& out) { return g.link_down(now, out), 0; });
     }
-    // Messages in transit are lost unless the link is resumed.
+    // Brings the link up. Messages in transit are lost unless it is resumed.
     void link_up(bool resumed) {
         if (!resumed) in_transit[0].clear(), in_transit[1].clear();
         for (int e : {low, high})
             run(e, [&](Group& g, Effects& out) { return g.link_up(now, resumed, out), 0; });
     }
+    // Lets `time` pass and then runs the timers of both ends.
     void advance(Duration time) {
         now += time;
         for (int e : {low, high}) run(e, [&](Group& g, Effects& out) { return g.run_timers(now, out), 0; });
@@ -110,13 +113,13 @@
     // Restarts end `e` while the link is down, with or without its ledger. Restored calls have the id "back".
     void crash(int e, bool with_ledger) {
         link_down();
-        const std::vector<Claim> stored = ledger[at(e)];
+        const std::vector<Claim> stored = ledger[index(e)];
         const GroupRules r = end(e).rules();
         end(e) = Group(r, 2);
         if (with_ledger)
             for (const Claim& claim : stored) end(e).restore(claim, "back", true, now);
         else
-            ledger[at(e)].clear();
+            ledger[index(e)].clear();
     }
     // Sets up a call from end `e` and answers it.
     CallRef establish(int e, const char* call, int width = 1) {
@@ -128,15 +131,16 @@
         CHECK(is_standing(ref));
         return ref;
     }
+    // Whether the call is answered and known at both ends.
     bool is_standing(CallRef ref) {
         for (int e : {low, high})
             if (const Leg* leg = end(e).leg(ref); !leg || leg->state != LegState::standing) return false;
         return true;
     }
     bool all_idle() { return ends[0].circuits().busy_count() + ends[1].circuits().busy_count() == 0; }
-    // Exactly once.
+    // Whether end `e` has reported `event` exactly once.
     bool was_reported(int e, const std::string& event) {
-        return std::count(events[at(e)].begin(), events[at(e)].end(), event) == 1;
+        return std::count(events[index(e)].begin(), events[index(e)].end(), event) == 1;
     }
 };
 
--- a/tests/trunk/group_test.cpp
+++ b/tests/trunk/group_test.cpp
@@ -81,7 +81,7 @@
     CHECK(t.was_reported(high, "ended b " + kGlare) && t.end(high).leg(a)->state == LegState::incoming);
 }
 
-// A wide call that loses one circuit loses all of them; of two crossing seizures exactly one wins.
+// A seizure of several circuits that loses one of them loses all; of two crossing seizures exactly one wins.
 void wide_seizure_wins_or_loses_as_a_whole() {
     for (int order = 0; order < 2; ++order) {
         TwoEnds t(4);
@@ -100,8 +100,8 @@
     }
 }
 
-// One wide seizure crosses two of the far end: it wins against one and loses to the other. Settled
-// differently at the two ends, a circuit would stay busy at one end only.
+// One seizure of several circuits crosses two of the far end: it wins against one and loses to the other. If
+// the two ends settled this differently, a circuit would stay busy at one end only.
 void both_ends_settle_each_crossing_pair_alike() {
     for (unsigned order = 0; order < 8; ++order) {
         TwoEnds t(7);
@@ -216,7 +216,7 @@
     CHECK(t.all_idle());
 }
 
-// The far end resets one circuit of a wide call: the whole call ends, and its other circuits do not stay
+// The far end resets one of the circuits of a call: the whole call ends, and its other circuits do not stay
 // busy.
 void reset_of_one_circuit_ends_the_wide_call() {
     TwoEnds t(4);
--- a/tests/trunk/link_test.cpp
+++ b/tests/trunk/link_test.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+// One end of a link, which records what it receives; `error` makes it refuse each message.
 struct End final : LinkEvents {
     std::vector<CallRef> received_calls;
     int restarted = 0, resumed = 0;
@@ -27,6 +28,7 @@
     void send(CallRef number) { session.send(ReleaseComplete{number}); }
 };
 
+// Two ends and the bytes in transit between them, which a break of the connection loses.
 struct Link {
     End a{{10, 20}, 1}, b{{20, 10}, 1};
     std::string to_a, to_b;
@@ -48,6 +50,7 @@
     }
 };
 
+// 1 to `last`.
 std::vector<CallRef> up_to(CallRef last) {
     std::vector<CallRef> all;
     for (CallRef n = 1; n <= last; ++n) all.push_back(n);
--- a/tests/trunk/manager_test.cpp
+++ b/tests/trunk/manager_test.cpp
@@ -37,6 +37,7 @@
     void release(const ExchangeId&, const CallId& call) override { ended.insert(call); }
 };
 
+// A hub with one circuit group, to the hub with the other number (1 or 2).
 struct Hub {
     Instant& now;
     Counters counters;
@@ -142,7 +143,7 @@
           t.b.table.calls() == 0);
 }
 
-// The decision module is told how many circuits are free, and that none is while the link is down.
+// The decision module receives the number of free circuits, which is zero while the link is down.
 void decision_module_knows_the_free_circuits() {
     TwoHubs t(2);
     for (const char* id : {"x", "y", "z"}) t.a.call(id, 2), t.deliver_all();
@@ -177,8 +178,9 @@
     CHECK(t.a.events("a3") == Events{"answer"});
 }
 
-// A set-up is cancelled before the glare (0) or after it (2), or its link breaks (1), and both time out. Each
-// caller that still waits must receive exactly one final answer.
+// Two set-ups collide and later time out. One is cancelled before the glare is noticed (0) or after it (2),
+// or the link breaks during the glare (1). Each caller that still waits must receive exactly one final
+// answer.
 void set_up_cancelled_during_glare_has_one_final_answer() {
     for (const int when : {0, 1, 2}) {
         TwoHubs t(1);
--- a/tests/trunk/parts_test.cpp
+++ b/tests/trunk/parts_test.cpp
@@ -138,13 +138,14 @@
     CHECK(interrupted.audit.evaluate(interrupted.response({0, 0, 0, 0}), interrupted.circuits).empty());
 }
 
-// A circuit that changed between query and response is no mismatch. With the check off it is taken for one.
+// A circuit that changed between query and response is no mismatch. With skip_changed_circuits off it counts
+// as one.
 void audit_skips_circuits_that_changed_after_the_query() {
     for (const bool skips : {true, false}) {
-        AuditRound taken(1, skips);
+        AuditRound seized(1, skips);
         // The message about this seizure crosses the response.
-        taken.circuits.apply(3, CircuitEvent::accept_incoming, 9);
-        CHECK(taken.audit.evaluate(taken.response({0, 7, 0, 0}), taken.circuits).empty() == skips);
+        seized.circuits.apply(3, CircuitEvent::accept_incoming, 9);
+        CHECK(seized.audit.evaluate(seized.response({0, 7, 0, 0}), seized.circuits).empty() == skips);
         AuditRound released(1, skips);
         released.circuits.apply(2, CircuitEvent::clear, 0);
         CHECK(released.audit.evaluate(released.response({0, 7, 0, 0}), released.circuits).empty() == skips);
