--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -200,11 +200,17 @@
         }
     }
     ~Program() {
-        if (pid_ > 0) ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+        kill();
         for (const char* suffix : {".json", ".log"}) unlink((path_prefix_ + suffix).c_str());
     }
     void write_config(const std::string& config) { std::ofstream(path_prefix_ + ".json") << config; }
     void signal(int number) { CHECK(::kill(pid_, number) == 0); }
+    // Kills the program if it still runs, and waits until it has ended. A test whose listeners outlive the
+    // program has to call this before it closes accepted connections: the program would connect again, and a
+    // later accept() would return that connection.
+    void kill() {
+        if (pid_ > 0) ::kill(pid_, SIGKILL), waitpid(std::exchange(pid_, -1), nullptr, 0);
+    }
     // Waits for the program to end. The signal's number, negated, if a signal ended it.
     int exit_code() {
         int status = 0;
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -37,6 +37,7 @@
         carrier_switch.send(group_state("x0:9;x1:9"));
         while (!succeeds(operator_port, "GET /ready")) usleep(5000);
     }
+    ~Site() { program.kill(); }  // before its connections are closed
     void set_up_answered(Peer& caller, const CallId& call) {
         caller.send(set_up(call, 1, 20'000));
         CHECK(carrier_switch.receive().call == call);
@@ -145,20 +146,28 @@
     std::string path, socket;
 };
 
-// A second process that starts while the site's process serves.
+// A second process that starts while the site's process serves. It has a feed listener of its own, since
+// processes connect to the feed again when it is silent: on a shared listener, an accepted connection could
+// be another process's. The carrier switch's address has to be the site's, as it comes with the exchange
+// list; there a process connects again only after it has lost the connection or has waited 10 s for an
+// answer.
 struct Successor {
     Successor(const char* path, Site& site, const Folder& folder)
         : operator_port(Listener().port()),
-          program(path, config_json(site.port, site.feed_listener, site.switch_listener, "10"), operator_port,
+          program(path, config_json(site.port, feed_listener, site.switch_listener, "10"), operator_port,
                   folder.path),
           carrier_switch(site.switch_listener.accept()),
-          feed(site.feed_listener.accept()) {}
+          feed(feed_listener.accept()) {}
+    // Kills the process before its connections are closed. It would connect to the carrier switch again, and
+    // the next successor's accept() would return the dead connection.
+    ~Successor() { program.kill(); }
     void prepare() {
         carrier_switch.send(group_state("x0:9;x1:9"));
         CHECK(feed.read_line() == "SUB 1\n");
         feed.send(std::string("1\n"));
         while (!succeeds(operator_port, "GET /ready")) usleep(5000);
     }
+    Listener feed_listener;
     int operator_port;
     Program program;
     Peer carrier_switch, feed;
@@ -261,7 +270,7 @@
     Peer second_switch_of_successor = second_listener.accept();  // from the predecessor's list
     second_switch_of_successor.send(group_state("x0:9;x1:9"));
     CHECK(contains(successor.feed.read_line(), "SUB "));
-    Peer again = site.feed_listener.accept();  // connects again after the silence
+    Peer again = successor.feed_listener.accept();  // connects again after the silence
     CHECK(again.read_line() == "SUB 2\n");
     // It waits for the feed although all groups are known. Checked only if less than 4 s have passed:
     // after 4.5 s it stops waiting.
