--- a/src/main.cpp
+++ b/src/main.cpp
@@ -22,8 +22,8 @@
     }
 }
 
-// The subcommand `circuits`, which sends requests to a running gatekeeper. `result` receives the
-// exit code.
+// Adds the subcommand `circuits`, which sends requests to a running gatekeeper. `result` receives the exit
+// code.
 void add_circuits(CLI::App& app, int& result) {
     struct CircuitOptions {
         std::string at, circuits = "", kind = "soft";
--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -17,7 +17,7 @@
 // A caller that has just connected, or is sending a message in pieces, goes on within this time.
 constexpr milliseconds kMaxPieceGap{400};
 constexpr milliseconds kOverdueCheckInterval{100};
-constexpr milliseconds kIdleCloseInterval{20};
+constexpr milliseconds kIdleCloseInterval{20};  // between searches for connections to pass on or close
 // In a drain a new connection that has sent no request yet stays open for this time.
 constexpr milliseconds kMinFirstRequestTime{500};
 // From the start of a connection until its first whole request. A connection that never sends one
--- a/src/net/callers.hpp
+++ b/src/net/callers.hpp
@@ -42,6 +42,7 @@
 
     // While `predicate` is true, closes connections that have neither an open set-up nor a standing call.
     void close_idle_while(std::function<bool()> predicate) { may_close_idle_ = std::move(predicate); }
+    // Closes none of the open connections.
     void set_max_connections(std::size_t max_connections) { max_connections_ = max_connections; }
     void stop();           // accepts no connections any more; the open ones stay
     bool is_idle() const;  // everything queued has been written
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -40,7 +40,8 @@
     std::string remote_address() const;              // without the port; empty if there is no far end
     bool is_idle() const { return queue_.empty(); }  // everything queued has been written
 
-    // Ends read_into() as soon as no write is under way; no byte that was read is lost.
+    // Ends read_into(): at once if no write is under way, otherwise after its next read or when this is
+    // called again without one. No byte that was read is lost.
     void pause_reading();
     // Releases the socket without closing it and returns its descriptor, -1 on error. The queue must be
     // empty.
--- a/src/net/feed.cpp
+++ b/src/net/feed.cpp
@@ -10,8 +10,8 @@
 constexpr std::chrono::milliseconds kConnectTimeOut{1000};
 constexpr std::chrono::milliseconds kReconnectInterval{100};
 constexpr std::chrono::milliseconds kMaxSilence{2500};  // the feed sends a line every second
-constexpr std::chrono::milliseconds kMaxFirstSilence{
-    1300};  // shorter, as a new process waits for the first line
+// Until the first line has come; shorter, as a new process waits for it.
+constexpr std::chrono::milliseconds kMaxFirstSilence{1300};
 constexpr std::chrono::milliseconds kSilenceCheckInterval{100};
 
 }  // namespace
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -83,9 +83,8 @@
         }
         co_return message;
     }
-    Descriptor take_received_descriptor() {
-        return std::move(received_descriptor_);
-    }  // came with the last message
+    // The descriptor that came with the last message.
+    Descriptor take_received_descriptor() { return std::move(received_descriptor_); }
 
    private:
     struct Outgoing {  // the rest of a message that is being written
@@ -207,7 +206,7 @@
 
 // ---- The predecessor ---------------------------------------------------------------------------------
 
-// Accepts one successor at a time.
+// Accepts a successor. While there is one, further connections are closed at once.
 asio::awaitable<void> Handover::accept() {
     asio::steady_timer pause(io_);
     while (acceptor_.is_open()) {
@@ -223,8 +222,8 @@
     accepting_ = false;
 }
 
-// Serves a successor until it closes the connection, sends something malformed or exceeds a time limit. If it
-// has taken over by then, it has failed, and this process serves again.
+// Serves a successor until it closes the connection, sends something malformed or exceeds a time limit. If
+// that happens after the successor has taken over, the successor has failed, and this process serves again.
 asio::awaitable<void> Handover::serve_successor(std::shared_ptr<Channel> to) {
     std::optional<Message> message = co_await to->receive(kMaxReplyTime);
     if (message && message->is_valid_hello()) {
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -40,12 +40,12 @@
     // What the hand-over needs from the process that it is part of.
     class Process {
        public:
-        // As the predecessor.
+        // Called while this process is the predecessor.
         virtual std::string exchange_list() const = 0;  // as a line of the feed
         virtual int listener_descriptor() = 0;
         virtual void begin_handover() = 0;  // accepts no further connections, passes on the open ones
         virtual void resume_service() = 0;  // the successor has gone: serves as before
-        // As the successor.
+        // Called while this process is the successor.
         virtual void use_listener(Descriptor listener) = 0;
         virtual void apply_list(const std::string& line) = 0;
         virtual bool is_prepared() = 0;  // ready to serve
@@ -71,8 +71,8 @@
     // from now on and calls Process::take_over() in any case, after a few seconds at the latest. False: there
     // is none.
     bool connect_to_predecessor();
-    // From now on the next process finds this one at the path. An error leaves the process without a
-    // successor.
+    // From now on the next process finds this one at the path. On an error this process serves on, but the
+    // next one starts without a hand-over.
     void listen_for_successor();
     void stop();
 
@@ -105,6 +105,7 @@
     asio::local::stream_protocol::acceptor acceptor_;
     std::shared_ptr<Channel> successor_;
     std::uint64_t own_inode_ = 0;  // of this process's socket at the path; 0: none
+    // handing_over_: a successor has taken over; accepting_: accept() is running.
     bool handing_over_ = false, accepting_ = false, stopped_ = false;
 };
 
--- a/src/net/operators.cpp
+++ b/src/net/operators.cpp
@@ -8,9 +8,9 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kAcceptRetryPause{20};  // after an error such as too many descriptors
-constexpr milliseconds kMaxRequestTime{
-    5000};  // from the connection until the far end closes it after the reply
-constexpr std::size_t kDiscardBufferBytes = 1024;
+// From the start of a connection until the far end closes it after the reply.
+constexpr milliseconds kMaxRequestTime{5000};
+constexpr std::size_t kDiscardBufferBytes = 1024;  // for bytes that come after the request
 
 }  // namespace
 
--- a/src/net/operators.hpp
+++ b/src/net/operators.hpp
@@ -16,7 +16,8 @@
 // reply. Closes a connection 5 s after it came up, or when it is the oldest and another one needs its place.
 class OperatorServer {
    public:
-    // Connections open at the same time, each of which holds a descriptor.
+    // Connections open at the same time, each of which holds a descriptor. The listening socket's descriptor
+    // is not counted.
     static constexpr std::size_t kMaxRequests = 16;
 
     // Listens at once; throws boost::system::system_error if it cannot.
--- a/src/net/switches.cpp
+++ b/src/net/switches.cpp
@@ -13,7 +13,7 @@
 
 // Between dials; doubles up to the connect time-out.
 constexpr Duration kMinReconnectPause = std::chrono::milliseconds(50);
-// The same while set-ups wait for a connection.
+// Between dials while set-ups wait for a connection.
 constexpr Duration kReconnectPauseWithSetUps = std::chrono::milliseconds(5);
 constexpr Duration kConnectionCheckInterval = std::chrono::milliseconds(50);
 // In connect time-outs: silence after which a second connection is tried.
@@ -53,6 +53,7 @@
         fail_unanswered(nullptr);
     }
 
+    // Sends the set-up, or dials at once if there is no connection and sends it on the next one.
     void set_up(const OutgoingSetUp& request) {
         has_had_set_ups_ = true;
         if (connection_ && connection_->is_open())
@@ -61,7 +62,8 @@
         timer_.cancel();  // dials at once
     }
 
-    // Sent on the connection of the set-up. If that is closed, the set-up has failed with it already.
+    // Sends a release on the connection of the set-up. If that is closed, the set-up has failed with it
+    // already.
     void cancel(const CallId& call) {
         std::erase_if(waiting_, [&](const auto& w) { return w.first == call; });
         const auto at = unanswered_.find(call);
@@ -131,7 +133,7 @@
     // Serves one carrier switch until stop(): dials it while there is no connection, or only a silent one,
     // and closes connections on which a message has stopped half-way.
     asio::awaitable<void> keep_connected() {
-        const auto to = to_endpoint(address_);
+        const auto endpoint = to_endpoint(address_);
         Duration pause = kMinReconnectPause;
         bool was_connected = false;  // since the start, or since the process was reported dead
         while (!stopped_) {
@@ -143,7 +145,7 @@
             }
             tcp::socket socket(io_);
             boost::system::error_code error = asio::error::invalid_argument;
-            if (to) error = co_await connect(socket, *to, connect_time_out_);
+            if (endpoint) error = co_await connect(socket, *endpoint, connect_time_out_);
             if (stopped_) co_return;
             if (!error) {
                 was_connected = true;
--- a/src/net/trunk_links.hpp
+++ b/src/net/trunk_links.hpp
@@ -34,7 +34,7 @@
                trunk::TrunkManager::Clock clock, Warn warn);
     ~TrunkLinks();
 
-    // A group whose far end this hub dials, from start() on.
+    // Adds a group whose far end this hub dials. To be called before start().
     void add_dialled(trunk::TrunkManager::Trunk& trunk, const tcp::endpoint& to);
     // Listens and dials. While the address is in use, listening is tried again, as a predecessor process may
     // still have it; any other error throws boost::system::system_error out of the event loop.
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -104,13 +104,15 @@
             for (const trunk::TrunkManager::Trunk* trunk : trunk_->trunk_manager().trunks())
                 routes_.add_route(trunk->settings().exchange, trunk_->trunk_manager());
         }
-        bool first = true;
+        // The first list comes from the configuration file and may be old. If there is none, an empty one
+        // adds the far hubs of the circuit groups.
+        bool is_first_list = true;
         for (ListEvent event : config.known_events) {
             if (!event.has_list) continue;
-            if (std::exchange(first, false)) event.kind = ListKind::cached;
+            if (std::exchange(is_first_list, false)) event.kind = ListKind::cached;
             apply(event);
         }
-        if (trunk_ && first)
+        if (trunk_ && is_first_list)
             apply({.number = 0, .has_list = true, .kind = ListKind::cached, .version = 0, .entries = {}});
         net::spawn(io, handle_signals());
         feed_.start();
@@ -364,11 +366,11 @@
     std::optional<net::OperatorServer> operators_;
     std::map<ExchangeId, ListedExchange> exchanges_;  // the current list, for a successor
     std::int64_t list_version_ = 0;
-    // Callers' connections: the bound for both processes of an upgrade together, and those of the
-    // predecessor.
+    // Callers' connections: the most that both processes of an upgrade may have together, and the number that
+    // the predecessor still has.
     std::size_t max_callers_, predecessor_connections_ = 0;
-    bool serving_ = false;  // false: a predecessor still serves
-    asio::steady_timer alarm_, stop_timer_;
+    bool serving_ = false;                   // false: a predecessor still serves
+    asio::steady_timer alarm_, stop_timer_;  // alarm_: of the call table
     asio::signal_set signals_;
     int note_count_ = 0;  // of the decision module
     bool stopping_ = false;
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -18,6 +18,7 @@
     return "{" + keys + "\"settings\":" + settings + "}";
 }
 
+// The message of the error that parse_config() throws; empty: none.
 std::string error_of(const std::string& text) {
     try {
         config::parse_config(text);
@@ -32,23 +33,24 @@
 }
 
 void reads_every_key() {
-    const config::Config c = config::parse_config(config_text(
+    const config::Config parsed = config::parse_config(config_text(
         R"("name":"n3","listen":"127.0.0.1:3868","feed":"127.0.0.2:4222","seed":"8c1f30d27a5be964",)"
         R"("limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"n":4,"events":[{"n":3,"members":)"
         R"({"version":1,"full":true,"servers":[)"
         R"({"id":"s","addr":"127.0.0.3:1","cell":1,"state":"active"}]}}]},)"));
-    CHECK(c.name == "n3" && c.listen_address == "127.0.0.1:3868" && c.feed_address == "127.0.0.2:4222");
-    CHECK(c.seed == 0x8c1f30d27a5be964u && c.memory_mb == 64 && c.max_sockets == 256);
-    CHECK(c.last_event_number == 4 && c.known_events.size() == 1 &&
-          c.known_events[0].entries[0].entry.number == 1);
-    CHECK(c.settings.max_attempts == 5 && c.settings.classes.at(0).aim == std::chrono::seconds(2));
-    CHECK(c.net.connect_time_out == std::chrono::milliseconds(500));
+    CHECK(parsed.name == "n3" && parsed.listen_address == "127.0.0.1:3868" &&
+          parsed.feed_address == "127.0.0.2:4222");
+    CHECK(parsed.seed == 0x8c1f30d27a5be964u && parsed.memory_mb == 64 && parsed.max_sockets == 256);
+    CHECK(parsed.last_event_number == 4 && parsed.known_events.size() == 1 &&
+          parsed.known_events[0].entries[0].entry.number == 1);
+    CHECK(parsed.settings.max_attempts == 5 && parsed.settings.classes.at(0).aim == std::chrono::seconds(2));
+    CHECK(parsed.net.connect_time_out == std::chrono::milliseconds(500));
 }
 
 void applies_defaults_to_missing_keys() {
-    const config::Config c = config::parse_config(config_text(""));
-    CHECK(c.memory_mb == 192 && c.max_sockets == 1024 && c.feed_address.empty() && c.last_event_number == 0 &&
-          c.known_events.empty());
+    const config::Config parsed = config::parse_config(config_text(""));
+    CHECK(parsed.memory_mb == 192 && parsed.max_sockets == 1024 && parsed.feed_address.empty() &&
+          parsed.last_event_number == 0 && parsed.known_events.empty());
 }
 
 void error_names_the_key() {
@@ -89,12 +91,14 @@
 // The process is killed 0.7 s after the longest deadline, or after 3.7 s if that is sooner.
 void shutdown_ends_before_the_kill() {
     using std::chrono::milliseconds;
-    config::Config c;
-    c.settings.classes.resize(2);
-    c.settings.classes[1].deadline = milliseconds(1200);
-    CHECK(c.shutdown_time_limit() < milliseconds(1900) && c.shutdown_time_limit() > milliseconds(1500));
-    c.settings.classes[0].deadline = milliseconds(9000);
-    CHECK(c.shutdown_time_limit() < milliseconds(3700) && c.shutdown_time_limit() > milliseconds(3300));
+    config::Config config;
+    config.settings.classes.resize(2);
+    config.settings.classes[1].deadline = milliseconds(1200);
+    CHECK(config.shutdown_time_limit() < milliseconds(1900) &&
+          config.shutdown_time_limit() > milliseconds(1500));
+    config.settings.classes[0].deadline = milliseconds(9000);
+    CHECK(config.shutdown_time_limit() < milliseconds(3700) &&
+          config.shutdown_time_limit() > milliseconds(3300));
 }
 
 }  // namespace
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -31,12 +31,13 @@
            std::to_string(1 + (pid & 255) % 254);
 }
 
+// The own address with `port`; 0: any free port.
 inline sockaddr_in to_sockaddr(int port) {
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_port = htons(static_cast<std::uint16_t>(port));
-    inet_pton(AF_INET, own_address().c_str(), &to.sin_addr);
-    return to;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    inet_pton(AF_INET, own_address().c_str(), &address.sin_addr);
+    return address;
 }
 
 // Owns a socket and limits its receives to kReceiveTimeoutSeconds.
@@ -75,7 +76,7 @@
    public:
     explicit Peer(int fd) : fd_(fd) {}
 
-    // Tries until the program listens. `from`: the local address to connect from.
+    // Connects to the program; tries until it listens. `from`: the local address to connect from.
     static Peer connect(int port, const char* from = nullptr) {
         for (;;) {
             const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -135,7 +136,7 @@
         const ssize_t bytes = ::recv(fd_.get(), &byte, 1, 0);
         return bytes == 0 || (bytes < 0 && errno == ECONNRESET);
     }
-    std::string read_line() {
+    std::string read_line() {  // with its line feed
         std::string text;
         for (char c = 0; c != '\n'; text += c) CHECK(::recv(fd_.get(), &c, 1, 0) == 1);
         return text;
@@ -156,13 +157,14 @@
 class Listener {
    public:
     Listener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-        sockaddr_in at = to_sockaddr(0);
-        CHECK(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+        sockaddr_in bound = to_sockaddr(0);
+        CHECK(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&bound), sizeof bound) == 0);
         CHECK(::listen(fd_.get(), 16) == 0);
-        socklen_t size = sizeof at;
-        CHECK(getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
-        port_ = ntohs(at.sin_port);
+        socklen_t size = sizeof bound;
+        CHECK(getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&bound), &size) == 0);
+        port_ = ntohs(bound.sin_port);
     }
+    // The oldest connection that waits, also if its far end has closed it meanwhile.
     Peer accept() { return Peer(::accept(fd_.get(), nullptr, nullptr)); }
     void close() { fd_.close(); }
     int port() const { return port_; }
@@ -227,6 +229,7 @@
     }
 
    private:
+    // The number of programs started by this test; makes the names of their files distinct.
     static int& started() {
         static int programs = 0;
         return programs;
@@ -248,6 +251,7 @@
            (full ? "true" : "false") + R"(,"servers":[)" + servers + "]}}";
 }
 
+// A set-up of `call` to exchange number `to`, with its description.
 inline std::string set_up(const CallId& call, int to, int time_left_ms, const char* service_class = "move") {
     const Frame frame = FrameBuilder(MessageType::set_up, call)
                             .text(ParameterCode::service_class, service_class)
@@ -258,11 +262,13 @@
     return frame.header + *frame.description;
 }
 
+// A carrier switch's answer to the set-up of `call`.
 inline Frame answer(const CallId& call) {
     return FrameBuilder(MessageType::answer, call)
         .build(std::make_shared<const std::string>("media\r\n of " + call));
 }
 
+// A carrier switch's report of its group's state, such as "x0:9;x1:9".
 inline Frame group_state(const char* state) {
     return FrameBuilder(MessageType::group_state, "").text(ParameterCode::report, state).build();
 }
@@ -294,11 +300,11 @@
 
 // The configuration of a gatekeeper with one carrier switch. `connect_time_out` is in seconds; a long one
 // keeps the program from treating the switch as silent when the test is slow.
-inline std::string config_json(int port, const Listener& feed, const Listener& at_switch,
+inline std::string config_json(int port, const Listener& feed_listener, const Listener& switch_listener,
                                const char* connect_time_out) {
     return R"({"name":"n","listen":")" + own_address() + ':' + std::to_string(port) + R"(","feed":")" +
-           feed.address() + R"(","seed":"5","known":{"n":1,"events":[)" +
-           event_json(1, true, switch_json(1, at_switch.address())) +
+           feed_listener.address() + R"(","seed":"5","known":{"n":1,"events":[)" +
+           event_json(1, true, switch_json(1, switch_listener.address())) +
            R"(]},"limits":{"sockets":40},"settings":{"self_index":0,"fleet_size":3,)"
            R"("family_info":{"this_node":0,"release_s":0.3},)"
            R"("grades":[{"name":"move","aim_s":20,"deadline_s":90}],"limits":{"send_cap":5,"open_cap":100,)"
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -19,7 +19,8 @@
     return text.find(part) != std::string::npos;
 }
 
-Peer* first_to_send(Peer& a, Peer& b) {
+// Waits until one of two peers has received something and returns it.
+Peer* first_to_receive(Peer& a, Peer& b) {
     pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
     CHECK(poll(both, 2, 1000 * kReceiveTimeoutSeconds) > 0);
     return both[0].revents ? &a : &b;
@@ -38,6 +39,7 @@
         while (!succeeds(operator_port, "GET /ready")) usleep(5000);
     }
     ~Site() { program.kill(); }  // before its connections are closed
+    // Sends a set-up from `caller` and has the carrier switch answer it.
     void set_up_answered(Peer& caller, const CallId& call) {
         caller.send(set_up(call, 1, 20'000));
         CHECK(carrier_switch.receive().call == call);
@@ -110,7 +112,7 @@
     for (CallId call;; ++served) {
         call = "00000000000001" + std::to_string(10 + served);
         busy.send(set_up(call, 1, 20'000));
-        if (first_to_send(busy, site.carrier_switch) == &busy) {
+        if (first_to_receive(busy, site.carrier_switch) == &busy) {
             const Received received = busy.receive();
             CHECK(received.type == MessageType::release && received.cause == 34 && received.call == call);
             break;
@@ -135,7 +137,8 @@
     while (succeeds(site.operator_port, "GET /ready")) usleep(5000);
 }
 
-// A folder that predecessor and successor share for the hand-over.
+// A folder that predecessor and successor share for the hand-over. `socket`: their listening address, which
+// is part of the name of the Unix socket there.
 struct Folder {
     Folder() : path("/tmp/operations_test." + std::to_string(getpid())) { mkdir(path.c_str(), 0700); }
     ~Folder() {
@@ -161,6 +164,7 @@
     // Kills the process before its connections are closed. It would connect to the carrier switch again, and
     // the next successor's accept() would return the dead connection.
     ~Successor() { program.kill(); }
+    // Gives the process what it waits for, and returns once it serves.
     void prepare() {
         carrier_switch.send(group_state("x0:9;x1:9"));
         CHECK(feed.read_line() == "SUB 1\n");
@@ -204,7 +208,7 @@
     // caller's release goes through the successor.
     site.carrier_switch.send(release(kOne, 16));
     // The release comes on either connection, as both are the same caller's.
-    const Received received = first_to_send(quiet, busy)->receive();
+    const Received received = first_to_receive(quiet, busy)->receive();
     CHECK(received.call == kOne && received.cause == 16);
     busy.send(release(kTwo, 16));
     CHECK(successor.carrier_switch.receive().call == kTwo);
@@ -270,13 +274,13 @@
     Peer second_switch_of_successor = second_listener.accept();  // from the predecessor's list
     second_switch_of_successor.send(group_state("x0:9;x1:9"));
     CHECK(contains(successor.feed.read_line(), "SUB "));
-    Peer again = successor.feed_listener.accept();  // connects again after the silence
-    CHECK(again.read_line() == "SUB 2\n");
+    Peer new_feed = successor.feed_listener.accept();  // the process connects again after the silence
+    CHECK(new_feed.read_line() == "SUB 2\n");
     // It waits for the feed although all groups are known. Checked only if less than 4 s have passed:
     // after 4.5 s it stops waiting.
     const bool is_ready = succeeds(successor.operator_port, "GET /ready");
     if (std::chrono::steady_clock::now() - start < std::chrono::seconds(4)) CHECK(!is_ready);
-    again.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
+    new_feed.send(event_json(3, false, switch_json(3, third_listener.address())) + "\n");
     Peer third_switch_of_successor = third_listener.accept();
     third_switch_of_successor.send(group_state("x0:9;x1:9"));
     while (!succeeds(successor.operator_port, "GET /ready")) usleep(5000);
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -175,14 +175,14 @@
     CHECK(carrier_switch.receive().call == one);
     const Frame answer_frame = answer(one);
     carrier_switch.send(answer_frame.header.substr(0, 9));
-    Peer again = switch_listener.accept();
-    again.send(group_state("x0:9;x1:9"));
+    Peer new_connection = switch_listener.accept();
+    new_connection.send(group_state("x0:9;x1:9"));
     CHECK(carrier_switch.closed_by_far_end());
-    Received received = again.receive();  // its answer may have been lost; nobody would use the call
+    Received received = new_connection.receive();  // its answer may have been lost; nobody would use the call
     CHECK(received.type == MessageType::release && received.call == one);
-    received = again.receive();
+    received = new_connection.receive();
     CHECK(received.type == MessageType::set_up && received.call == one);
-    again.send(answer_frame);
+    new_connection.send(answer_frame);
     CHECK(caller.receive().type == MessageType::answer);
 }
 
