--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -152,8 +152,8 @@
 // A second process that starts while the site's process serves. It has a feed listener of its own, since
 // processes connect to the feed again when it is silent: on a shared listener, an accepted connection could
 // be another process's. The carrier switch's address has to be the site's, as it comes with the exchange
-// list; there a process connects again only after it has lost the connection or has waited 10 s for an
-// answer.
+// list; there a process connects again only after it has lost the connection, has waited 10 s for an answer
+// or, once it has sent set-ups, has read nothing for 40 s.
 struct Successor {
     Successor(const char* path, Site& site, const Folder& folder)
         : operator_port(Listener().port()),
