--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -13,18 +13,20 @@
 
 using namespace json;
 
+// The limits, if the file does not have them, and the lowest limit of sockets that is accepted.
 constexpr int kDefaultMemoryMb = 192;
 constexpr int kDefaultSockets = 1024;
 constexpr int kMinSockets = 32;
 
 // A supervisor that stops this process waits for the longest deadline of a service class, at most for
-// kSupervisorMaxWait, plus kSupervisorExtraWait; then it kills the process. Work has to end kKillMargin
-// earlier.
+// kSupervisorMaxWait (kSupervisorMaxWaitSuperseded if a successor process has taken over), plus
+// kSupervisorExtraWait; then it kills the process. Work has to end kKillMargin before that.
 constexpr Duration kSupervisorMaxWait = std::chrono::seconds(3);
 constexpr Duration kSupervisorMaxWaitSuperseded = std::chrono::seconds(5);
 constexpr Duration kSupervisorExtraWait = std::chrono::milliseconds(700);
 constexpr Duration kKillMargin = std::chrono::milliseconds(250);
 
+// Parses a hexadecimal number.
 std::uint64_t parse_seed(const std::string& text) {
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
@@ -96,6 +98,8 @@
     return config;
 }
 
+// The time from the order to shut down until kKillMargin before the supervisor kills the process. `max_wait`
+// limits the part that depends on the deadlines.
 static Duration time_before_kill(const Settings& settings, Duration max_wait) {
     Duration longest_deadline{};
     for (const ClassSettings& service_class : settings.classes)
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -13,7 +13,7 @@
 
 // The configuration, checked and with its defaults filled in.
 struct Config {
-    std::string name;
+    std::string name;               // of this gatekeeper; may be empty
     std::string listen_address;     // address:port for callers
     std::string feed_address;       // address:port of the control feed; empty: no feed
     std::string operators_address;  // address:port for operators' HTTP; empty: not served
@@ -26,7 +26,8 @@
     std::int64_t last_event_number = 0;
     std::vector<ListEvent> known_events;
 
-    // Path of the socket on which the successor process connects to this one; empty: no hand-over.
+    // Path of the socket on which the successor process connects to this one; empty (TMPDIR is not set): no
+    // hand-over.
     std::string handover_path;
 
     // Time from the order to shut down until every open set-up must have had its final answer.
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -22,6 +22,7 @@
     using std::runtime_error::runtime_error;
 };
 
+// Throws BadInput with that message.
 [[noreturn]] inline void throw_bad_input(const std::string& what) {
     throw BadInput(what);
 }
@@ -31,14 +32,15 @@
     throw_bad_input(std::string("'").append(key).append("' must be ").append(expected));
 }
 
+// Throws "missing 'key'".
 [[noreturn]] inline void throw_missing_key(const char* key) {
     throw_bad_input(std::string("missing '").append(key).append("'"));
 }
 
 // Returns the member's value, or nullptr if it is absent or null.
 inline const Value* find(const Value& object, const char* key) {
-    const auto at = object.FindMember(key);
-    return at == object.MemberEnd() || at->value.IsNull() ? nullptr : &at->value;
+    const auto member = object.FindMember(key);
+    return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
 // How error messages name the type that is expected.
@@ -50,7 +52,7 @@
 }
 
 // Returns the value as a T. Integers may also be written as a whole number with a fraction of zero (3.0).
-// `key` serves the error message alone.
+// `key` is used only in the error message.
 template <class T>
 T convert(const Value& value, const char* key) {
     if constexpr (std::is_same_v<T, bool>) {
@@ -79,24 +81,24 @@
 // Returns the member as a T; throws if it is absent or null.
 template <class T>
 T get_required(const Value& object, const char* key) {
-    const Value* at = find(object, key);
-    if (!at) throw_missing_key(key);
-    return convert<T>(*at, key);
+    const Value* value = find(object, key);
+    if (!value) throw_missing_key(key);
+    return convert<T>(*value, key);
 }
 
 // Returns the member as a T, or `default_value` if it is absent or null.
 template <class T>
 T get_or(const Value& object, const char* key, T default_value) {
-    const Value* at = find(object, key);
-    return at ? convert<T>(*at, key) : default_value;
+    const Value* value = find(object, key);
+    return value ? convert<T>(*value, key) : default_value;
 }
 
-// Returns the member, which must be an array (`array` is true) or an object.
+// Returns the member, which must be an array if `array` is true, otherwise an object.
 inline const Value& get_container(const Value& object, const char* key, bool array) {
-    const Value* at = find(object, key);
-    if (!at) throw_missing_key(key);
-    if (array ? !at->IsArray() : !at->IsObject()) throw_bad_key(key, array ? "an array" : "an object");
-    return *at;
+    const Value* value = find(object, key);
+    if (!value) throw_missing_key(key);
+    if (array ? !value->IsArray() : !value->IsObject()) throw_bad_key(key, array ? "an array" : "an object");
+    return *value;
 }
 
 // The same; returns an empty array or object if the member is absent or null.
@@ -112,7 +114,7 @@
     return Duration(std::llround(seconds * 1e6));
 }
 
-// Like get_required and get_or, for members that hold seconds.
+// Like get_required() and get_or(), for members that hold seconds.
 inline Duration get_required_duration(const Value& object, const char* key) {
     return to_duration(get_required<double>(object, key));
 }
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -15,6 +15,7 @@
 
 namespace nettlestall::config {
 
+// The text of deploy/nettlestall.xsd, which is compiled in.
 extern const char kOperatorSchema[];
 
 namespace {
@@ -107,6 +108,7 @@
     return first == std::string::npos ? std::string() : text.substr(first, last - first + 1);
 }
 
+// The attribute's number; zero if it is absent.
 template <class T>
 T get_number(const xmlNode* node, const char* name) {
     std::string text = trim(get_text(node, name));
@@ -116,16 +118,18 @@
     return value;
 }
 
-// The attribute holds seconds.
+// The attribute's number of seconds; zero if it is absent.
 Duration get_duration(const xmlNode* node, const char* name) {
     return Duration(std::llround(get_number<double>(node, name) * 1e6));
 }
 
+// The attribute's boolean; false if it is absent.
 bool get_bool(const xmlNode* node, const char* name) {
     const std::string text = trim(get_text(node, name));
     return text == "true" || text == "1";
 }
 
+// Calls `visit` with each child element and its name.
 template <class F>
 void for_each_child(const xmlNode* parent, F&& visit) {
     for (const xmlNode* child = parent->children; child; child = child->next)
@@ -133,8 +137,8 @@
             visit(child, std::string(reinterpret_cast<const char*>(child->name)));
 }
 
-// Checks the ranges of the port and, in an IPv4 address, of the four numbers; the schema checks
-// only the form.
+// Checks the ranges of the port and, in an IPv4 address, of the four numbers; the schema checks only the
+// form. An absent attribute is valid.
 void check_address(const xmlNode* node, const char* name, ErrorList& errors) {
     const std::string text = get_text(node, name);
     if (text.empty()) return;
@@ -154,6 +158,7 @@
                              "expected, as in 127.0.0.1:7001");
 }
 
+// Reads an element <group>. `own` is this hub's point code.
 trunk::GroupSettings read_group(const xmlNode* node, trunk::PointCode own) {
     trunk::GroupSettings group;
     group.id = get_number<std::uint32_t>(node, "id");
@@ -182,12 +187,15 @@
    public:
     explicit ConsistencyChecker(ErrorList& errors) : errors_(errors) {}
 
+    // Checks that the name and the number of the exchange of <lines> or <group> are used only once.
     void check_exchange(const xmlNode* node) {
         if (!insert_unique(exchanges_, get_text(node, "exchange"), node))
             add_duplicate(node, "exchange", "is another element's");
         if (!insert_unique(numbers_, get_text(node, "number"), node))
             add_duplicate(node, "number", "is another element's");
     }
+    // Checks the identity, the point codes, the addresses and the audit times of <group>. The hub with the
+    // lower point code connects to the other one.
     void check_group(const xmlNode* node, const xmlNode* trunk, const trunk::GroupSettings& group) {
         if (!insert_unique(groups_, std::to_string(group.id), node))
             add_duplicate(node, "id", "is another group's");
@@ -212,6 +220,7 @@
                        const xmlNode* node) {
         return seen.emplace(key, node).second;
     }
+    // Adds the error that the attribute's value, which must be unique, is taken; `what` says by whom.
     void add_duplicate(const xmlNode* node, const char* attribute, const char* what) {
         errors_.add(node, std::string("attribute '") + attribute + "': '" + get_text(node, attribute) + "' " +
                               what + "; each is expected once");
@@ -220,6 +229,7 @@
     std::map<std::string, const xmlNode*> exchanges_, numbers_, groups_;
 };
 
+// Reads the element <trunk>; adds all errors that the schema did not find.
 TrunkSettings read_trunk(const xmlNode* node, ErrorList& errors) {
     TrunkSettings settings;
     settings.point_code = get_number<int>(node, "point");
@@ -276,15 +286,16 @@
     if (before.trunk.has_value() != after.trunk.has_value())
         return "<trunk> can be added or removed only with a restart";
     if (!before.trunk) return {};
-    const TrunkSettings &a = *before.trunk, &b = *after.trunk;
-    if (a.point_code != b.point_code || a.exchange_number != b.exchange_number ||
-        a.listen_address != b.listen_address || a.ledger_folder != b.ledger_folder)
+    const TrunkSettings &current = *before.trunk, &changed = *after.trunk;
+    if (current.point_code != changed.point_code || current.exchange_number != changed.exchange_number ||
+        current.listen_address != changed.listen_address || current.ledger_folder != changed.ledger_folder)
         return "<trunk>: 'point', 'number', 'listen' and 'ledger' must be the same until a restart";
     const auto same_lines = [](const ListedExchange& x, const ListedExchange& y) {
         return x.entry.exchange == y.entry.exchange && x.entry.number == y.entry.number &&
                x.address == y.address;
     };
-    if (!std::equal(a.lines.begin(), a.lines.end(), b.lines.begin(), b.lines.end(), same_lines))
+    if (!std::equal(current.lines.begin(), current.lines.end(), changed.lines.begin(), changed.lines.end(),
+                    same_lines))
         return "<lines> must be the same until a restart";
     const auto same_group = [](const TrunkSettings::Group& x, const TrunkSettings::Group& y) {
         return x.settings.id == y.settings.id && x.settings.exchange == y.settings.exchange &&
@@ -292,7 +303,8 @@
                x.settings.rules.point_codes.far == y.settings.rules.point_codes.far &&
                x.settings.rules.circuits == y.settings.rules.circuits && x.dial_address == y.dial_address;
     };
-    if (!std::equal(a.groups.begin(), a.groups.end(), b.groups.begin(), b.groups.end(), same_group))
+    if (!std::equal(current.groups.begin(), current.groups.end(), changed.groups.begin(),
+                    changed.groups.end(), same_group))
         return "<group>: only <audit> and <times> can change without a restart";
     return {};
 }
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -24,6 +24,7 @@
     std::string listen_address;         // address:port; empty: no other hub connects to this one
     std::string ledger_folder;          // empty: circuits are not recorded on disk
     std::vector<ListedExchange> lines;  // carrier switches that serve this hub's own numbers
+    // The element <group>: a circuit group to another hub.
     struct Group {
         trunk::GroupSettings settings;
         std::string dial_address;  // address:port of the far hub; empty: the far hub connects
@@ -37,13 +38,14 @@
     std::optional<TrunkSettings> trunk;
 };
 
+// Read the file at `path`, and parse the text of such a file; `name` is the file name that the errors show.
 // Both throw json::BadInput, whose text has one line for each error: file, line, element and what was
-// expected. `name` is the file name that the errors show.
+// expected.
 OperatorFile read_operator_file(const std::string& path);
 OperatorFile parse_operator_file(const std::string& text, const std::string& name);
 
-// Says which difference between the two files needs a restart (hubs, addresses, groups); empty: none, so that
-// a reload can apply the new file in service.
+// Returns a message that names the first difference between the two files that needs a restart (hubs,
+// addresses, ledger, groups). Empty: there is none, and a reload can apply the new file in service.
 std::string find_restart_reason(const OperatorFile& before, const OperatorFile& after);
 
 }  // namespace nettlestall::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -22,6 +22,8 @@
     settings.over_share_worth = get_or(object, "over_share_worth", 1.0);
     settings.min_event_interval = get_duration_or(object, "step_s");
 
+    // In the settings, service classes are called grades and tenants parties. The arrays class_hold_s,
+    // class_width and skilled_pools have one entry for each class, in the order of the grades.
     const json::Value& holding_times = get_container_or_empty(family, "class_hold_s", true);
     const json::Value& widths = get_container_or_empty(family, "class_width", true);
     const json::Value& skilled_pools = get_container_or_empty(family, "skilled_pools", true);
@@ -40,6 +42,7 @@
         if (class_index < holding_times.Size())
             service_class.holding_time =
                 to_duration(convert<double>(holding_times[class_index], "class_hold_s"));
+        // Unknown values mean the cautious policy, never, and the widest scope, all.
         const std::string repeat = get_or<std::string>(grade, "repeat", "retryable");
         service_class.repeat = repeat == "retryable" ? RepeatPolicy::safe
                                : repeat == "dedup"   ? RepeatPolicy::discarded_by_group
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -12,8 +12,9 @@
     Duration connect_time_out{};  // of connections to exchanges; more than zero
 };
 
-// The settings of the decision module.
+// Reads the settings of the decision module.
 Settings read_settings(const json::Value& object);
+// Reads the settings of the sockets, which are in the same object.
 NetSettings read_net_settings(const json::Value& object);
 
 }  // namespace nettlestall::config
--- a/src/lab/glare.cpp
+++ b/src/lab/glare.cpp
@@ -14,18 +14,20 @@
 using std::chrono::seconds;
 
 constexpr Duration kMeanHoldingTime = seconds(20), kCallerTimeLimit = seconds(5);
-constexpr Duration kObservationInterval = milliseconds(500);  // of the utilisation and of lost calls
-constexpr Duration kQuietPeriod = minutes(10);                // without new calls and faults, at the end
+// Interval at which the utilisation and the lost calls are observed; times to free are no more precise.
+constexpr Duration kObservationInterval = milliseconds(500);
+constexpr Duration kQuietPeriod = minutes(10);  // without new calls and faults, at the end
 constexpr Duration kSampleInterval = minutes(10);
 
-// Two hubs that a circuit group joins.
+// Two hubs that a circuit group joins, by number.
 struct HubPair {
     std::uint32_t id;  // of the group
-    int a, b;
+    int hub_a, hub_b;
     std::unique_ptr<Link> link;
 };
 
-// A call whose state one end has lost, while the other end may hold its circuits for ever.
+// A call whose state one end has lost, while the other end may hold its circuits for ever unless an audit
+// frees them.
 struct LostCall {
     const HubPair* pair;
     trunk::CallRef ref;
@@ -39,8 +41,8 @@
 // The percentile of sorted values; `share` is from 0 to 1. 0 if there are none.
 double percentile(std::vector<double>& sorted, double share) {
     if (sorted.empty()) return 0.0;
-    const auto at = static_cast<std::size_t>(std::ceil(share * static_cast<double>(sorted.size())));
-    return sorted[std::min(sorted.size() - 1, at == 0 ? 0 : at - 1)];
+    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(sorted.size())));
+    return sorted[std::min(sorted.size() - 1, rank == 0 ? 0 : rank - 1)];
 }
 
 // One run: the hubs, the links between them, the traffic and the faults.
@@ -70,8 +72,8 @@
         for (HubSettings& hub : hubs)
             hubs_.push_back(std::make_unique<Hub>(simulation_, party_random_, truth_, std::move(hub)));
         for (HubPair& pair : pairs_) {
-            hub_at(pair.a).attach_link(pair.id, *pair.link);
-            hub_at(pair.b).attach_link(pair.id, *pair.link);
+            hub_at(pair.hub_a).attach_link(pair.id, *pair.link);
+            hub_at(pair.hub_b).attach_link(pair.id, *pair.link);
         }
         for (const auto& hub : hubs_) {
             hub->on_far_line_release(
@@ -79,9 +81,10 @@
             hub->start(settings_.ledgers);
         }
         for (HubPair& pair : pairs_)
-            pair.link->attach(hub_at(pair.a).link_end(pair.id), hub_at(pair.b).link_end(pair.id));
+            pair.link->attach(hub_at(pair.hub_a).link_end(pair.id), hub_at(pair.hub_b).link_end(pair.id));
     }
 
+    // Runs the traffic, then the quiet period. To be called once.
     GlareResult run() {
         const Instant begin = simulation_.now();
         end_ = begin + Duration(static_cast<std::int64_t>(settings_.hours * 3600e6));
@@ -111,7 +114,7 @@
     static std::size_t index(int hub) { return static_cast<std::size_t>(hub); }
     Hub& hub_at(int hub) { return *hubs_[index(hub)]; }
 
-    // Settings of the group `id` at hub `own`, which leads to hub `far`.
+    // Settings of the group `id` at hub `own`, which leads to hub `far`. Point codes begin with 1.
     trunk::GroupSettings make_group_settings(std::uint32_t id, int own, int far) const {
         trunk::GroupSettings group;
         group.id = id;
@@ -126,6 +129,7 @@
 
     bool traffic_ended() const { return simulation_.now() >= end_; }
 
+    // A random hub other than that one.
     int pick_other_hub(int hub) {
         const int to = traffic_random_.draw_below(settings_.hubs - 1);
         return to >= hub ? to + 1 : to;
@@ -133,12 +137,15 @@
 
     // ---- Traffic
 
+    // Places calls from the hub to random other hubs until the traffic ends, at exponentially distributed
+    // intervals. Each end of a group offers half of its load; wide calls take two circuits more than others.
     void place_calls(int hub) {
-        const double width = 1.0 + settings_.wide_share * 2.0;
-        const double per_group = settings_.load * settings_.circuits / width / to_seconds(kMeanHoldingTime);
-        const double each_second = per_group / 2.0 * (settings_.hubs - 1);
+        const double mean_width = 1.0 + settings_.wide_share * 2.0;
+        const double per_group =
+            settings_.load * settings_.circuits / mean_width / to_seconds(kMeanHoldingTime);
+        const double calls_per_second = per_group / 2.0 * (settings_.hubs - 1);
         simulation_.schedule_after(
-            traffic_random_.draw_exponential(Duration(static_cast<std::int64_t>(1e6 / each_second))),
+            traffic_random_.draw_exponential(Duration(static_cast<std::int64_t>(1e6 / calls_per_second))),
             [this, hub] {
                 if (traffic_ended()) return;
                 hub_at(hub).place_call(pick_other_hub(hub), traffic_random_.draw_bool(settings_.wide_share));
@@ -146,14 +153,14 @@
             });
     }
 
-    // Lets callers at both ends of a group call at the same time, every 5 s on average.
+    // Lets one to three callers at each end of a group call at the same time, every 5 s on average.
     void start_dual_seizures() {
         repeat(seconds(5), [this] {
             const HubPair& pair = pick_pair();
             for (int calls = 1 + fault_random_.draw_below(3); calls > 0; --calls) {
                 const bool wide = fault_random_.draw_bool(settings_.wide_share);
-                hub_at(pair.a).place_call(pair.b, wide);
-                hub_at(pair.b).place_call(pair.a, wide);
+                hub_at(pair.hub_a).place_call(pair.hub_b, wide);
+                hub_at(pair.hub_b).place_call(pair.hub_a, wide);
             }
         });
     }
@@ -173,6 +180,8 @@
     HubPair& pick_pair() { return pairs_[index(fault_random_.draw_below(static_cast<int>(pairs_.size())))]; }
     int pick_hub() { return fault_random_.draw_below(settings_.hubs); }
 
+    // Starts the simultaneous calls, and the faults, at random times: breaks and interruptions of links,
+    // crashes, stalls of a hub, extra delay of a link for 20 s, and calls whose state one end loses.
     void start_faults() {
         start_dual_seizures();
         repeat(seconds(70), [this] { ++result_.breaks, pick_pair().link->break_connection(); });
@@ -195,7 +204,7 @@
         repeat(seconds(240), [this] { crash(pick_hub()); });
         repeat(seconds(900), [this] {  // both ends of a group, so that neither can restore the other's calls
             const HubPair& pair = pick_pair();
-            crash(pair.a), crash(pair.b);
+            crash(pair.hub_a), crash(pair.hub_b);
         });
     }
 
@@ -204,7 +213,8 @@
         const Duration length = fault_random_.draw_between(milliseconds(500), seconds(19));
         const int first = pick_hub();
         for (HubPair& pair : pairs_)
-            if ((pair.a <= first) != (pair.b <= first) || settings_.hubs == 2) pair.link->interrupt(length);
+            if ((pair.hub_a <= first) != (pair.hub_b <= first) || settings_.hubs == 2)
+                pair.link->interrupt(length);
     }
 
     // Crashes the hub and starts it again after 0.2 to 6 s, with its ledger in 70 % of the cases if it has
@@ -223,7 +233,7 @@
     // effect.
     void lose_call_state() {
         const HubPair& pair = pick_pair();
-        const int hub = fault_random_.draw_bool(0.5) ? pair.a : pair.b;
+        const int hub = fault_random_.draw_bool(0.5) ? pair.hub_a : pair.hub_b;
         if (!hub_at(hub).is_running()) return;
         trunk::TrunkManager::Trunk& trunk = *hub_at(hub).trunk_manager()->find(pair.id);
         std::vector<trunk::CallRef> standing;
@@ -240,15 +250,17 @@
 
     // ---- Observation
 
+    // True if the hub is running and has that call in the group.
     bool is_held(int hub, std::uint32_t group, trunk::CallRef ref) {
         return hub_at(hub).is_running() && hub_at(hub).trunk_manager()->find(group)->group().leg(ref);
     }
 
-    // Notes which lost calls both ends have freed by now, and the utilisation.
+    // Records the time to free of each lost call that neither end holds any more, and the current
+    // utilisation.
     void observe() {
         std::erase_if(lost_calls_, [this](const LostCall& lost) {
-            if (is_held(lost.pair->a, lost.pair->id, lost.ref) ||
-                is_held(lost.pair->b, lost.pair->id, lost.ref))
+            if (is_held(lost.pair->hub_a, lost.pair->id, lost.ref) ||
+                is_held(lost.pair->hub_b, lost.pair->id, lost.ref))
                 return false;
             times_to_free_.push_back(to_seconds(simulation_.now() - lost.since));
             return true;
@@ -261,26 +273,28 @@
             simulation_.schedule_after(kObservationInterval, [this] { observe(); });
     }
 
-    // The share of all circuits that carry answered calls which no fault or crash has damaged.
+    // The share of all circuits that carry answered calls which no fault or crash has damaged, as the first
+    // hub of each pair has them. While that hub is not running, the group counts as idle.
     double measure_busy_share() {
         double busy = 0, all = 0;
         for (const HubPair& pair : pairs_) {
             all += settings_.circuits;
-            if (!hub_at(pair.a).is_running()) continue;
-            for (const auto& [ref, leg] : hub_at(pair.a).trunk_manager()->find(pair.id)->group().legs())
+            if (!hub_at(pair.hub_a).is_running()) continue;
+            for (const auto& [ref, leg] : hub_at(pair.hub_a).trunk_manager()->find(pair.id)->group().legs())
                 if (leg.state == trunk::LegState::standing && truth_.calls[leg.call].is_intact())
                     busy += static_cast<double>(leg.circuits.size());
         }
         return busy / all;
     }
 
-    // The number of circuits that one end or both hold for a call that is over or damaged.
+    // The number of circuits that are busy at one end at least without an intact call. While there is
+    // traffic, these include the circuits of calls that are being set up or released.
     std::uint64_t count_stuck() {
         std::uint64_t stuck = 0;
         for (const HubPair& pair : pairs_)
             for (int n = 1; n <= settings_.circuits; ++n) {
                 bool busy = false;
-                for (const int hub : {pair.a, pair.b}) {
+                for (const int hub : {pair.hub_a, pair.hub_b}) {
                     if (!hub_at(hub).is_running()) continue;
                     const trunk::Group& group = hub_at(hub).trunk_manager()->find(pair.id)->group();
                     const trunk::Leg* leg = group.leg(group.circuits().at(n).call);
@@ -292,6 +306,7 @@
         return stuck;
     }
 
+    // Records a sample every kSampleInterval until the traffic ends.
     void record_sample(Instant begin) {
         const double all = static_cast<double>(pairs_.size()) * settings_.circuits;
         result_.samples.push_back({to_seconds(simulation_.now() - begin) / 3600.0,
@@ -301,6 +316,7 @@
         });
     }
 
+    // Adds the counters of the hub's groups, which end with its process.
     void add_group_counts(Hub& hub) {
         if (!hub.is_running()) return;
         for (const trunk::TrunkManager::Trunk* trunk : hub.trunk_manager()->trunks()) {
--- a/src/lab/hub.cpp
+++ b/src/lab/hub.cpp
@@ -12,21 +12,23 @@
 
 // A link on which nothing arrives for kSilenceTimeout is closed.
 constexpr Duration kHeartbeatInterval = seconds(1), kSilenceTimeout = seconds(3);
+// How long a line takes to answer, reject or fail.
 constexpr Duration kAnswerDelayMin = milliseconds(40), kAnswerDelayMax = milliseconds(250);
 constexpr int kLineCount = 1000;  // more than ever are in use
 const ExchangeId kLinesExchange = "lines";
 
-// Expires once, at the earliest time that was set.
+// Expires once, at the earliest time that was set. `run` runs the expiry, at once or later; nothing runs
+// after the timer is destroyed.
 class Timer {
    public:
     explicit Timer(Simulation& simulation, std::function<void(std::function<void()>)> run)
         : simulation_(simulation), run_(std::move(run)) {}
     void on_expiry(std::function<void()> expire) { on_expiry_ = std::move(expire); }
-    void set(Instant at) {
-        if (at >= expiry_time_) return;
-        expiry_time_ = at;
-        simulation_.schedule_at(at, [this, at, lifetime = std::weak_ptr(lifetime_)] {
-            if (lifetime.expired() || at != expiry_time_) return;
+    void set(Instant time) {
+        if (time >= expiry_time_) return;
+        expiry_time_ = time;
+        simulation_.schedule_at(time, [this, time, lifetime = std::weak_ptr(lifetime_)] {
+            if (lifetime.expired() || time != expiry_time_) return;
             run_([this, lifetime] {
                 if (lifetime.expired()) return;
                 expiry_time_ = Instant::max();
@@ -43,7 +45,7 @@
     std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
-// Settings of the decision module.
+// Settings of the decision module, with the service classes `move` and `live-board` (wide calls).
 Settings decision_settings(const HubSettings& hub) {
     Settings settings;
     settings.call_control_count = hub.hub_count;
@@ -93,6 +95,7 @@
             if (connected_ && connection == connection_) close();
         });
     }
+    // Sends what the trunk signalling has to send.
     void flush(trunk::TrunkManager::Trunk& trunk) {
         if (link) link->send(*this, trunk.take_output());
     }
@@ -104,6 +107,7 @@
         link->close(*this);
         hub_.trunk_manager()->find(group_)->disconnected();
     }
+    // Sends heartbeats, and closes the connection if nothing arrives for kSilenceTimeout.
     void watch_heartbeats(std::uint64_t connection) {
         hub_.simulation_.schedule_after(kHeartbeatInterval, [this, connection] {
             hub_.run_when_responsive([this, connection] {
@@ -134,7 +138,7 @@
     Hub& hub_;
 };
 
-// The subscriber lines of the hub: each call is answered, rejected, fails or gets no answer, at random.
+// The subscriber lines of the hub, as a carrier switch.
 class Hub::LineStub final : public Switches {
    public:
     explicit LineStub(Hub& hub) : hub_(hub) {}
@@ -168,8 +172,8 @@
                       [&hub](std::function<void()> task) { hub.run_when_responsive(std::move(task)); }) {
         call_timer.on_expiry([this] { gatekeeper.run_timers(); });
         trunk_timer.on_expiry([this] { trunk_manager.run_timers(); });
-        gatekeeper.set_timer_handler([this](Instant at) { call_timer.set(at); });
-        trunk_manager.on_schedule([this](Instant at) { trunk_timer.set(at); });
+        gatekeeper.set_timer_handler([this](Instant time) { call_timer.set(time); });
+        trunk_manager.on_schedule([this](Instant time) { trunk_timer.set(time); });
     }
 
     Counters counters;
@@ -226,8 +230,8 @@
         [this](trunk::TrunkManager::Trunk& trunk) { group_ends_.at(trunk.settings().id)->flush(trunk); });
     process.trunk_manager.on_freed(
         [this](const trunk::TrunkManager::Trunk&, const trunk::FreedByAudit& freed) {
-            const auto at = truth_.calls.find(freed.call);
-            if (at != truth_.calls.end() && at->second.is_intact()) ++truth_.live_cut_by_audit;
+            const auto entry = truth_.calls.find(freed.call);
+            if (entry != truth_.calls.end() && entry->second.is_intact()) ++truth_.live_cut_by_audit;
         });
     ListEvent list{.number = 1, .has_list = true, .kind = ListKind::cached, .version = 1, .entries = {}};
     ListedExchange& lines = list.entries.emplace_back();
@@ -245,14 +249,14 @@
             for (trunk::LedgerCall& call : trunk::complete_calls(circuits_held))
                 calls.push_back(std::move(call));
         process.trunk_manager.restore(calls, [&process](const trunk::LedgerCall& record, CallerLink* link) {
-            const ExchangeId at = record.outgoing
-                                      ? process.trunk_manager.find(record.group)->settings().exchange
-                                      : record.exchange;
-            process.gatekeeper.accept_standing(at, record.call, record.origin, link);
+            const ExchangeId exchange = record.outgoing
+                                            ? process.trunk_manager.find(record.group)->settings().exchange
+                                            : record.exchange;
+            process.gatekeeper.accept_standing(exchange, record.call, record.origin, link);
         });
     }
-    // The ledger does not have the calls of the previous process, so their callers and lines at this hub get
-    // no release.
+    // This process has no ledger, or one that the previous process did not write: it does not know that
+    // process's calls, so their callers and lines at this hub get no release.
     if (!with_ledger || !std::exchange(uses_ledger_, true)) {
         if (!with_ledger) ledger_.circuits_held.clear();
         uses_ledger_ = with_ledger;
@@ -268,7 +272,7 @@
     if (!process_) return;
     for (auto& [id, call] : truth_.calls) {
         if (call.from != settings_.number || call.caller != CallRecord::CallerState::waiting) continue;
-        // The caller's connection is reset, so it gets no final answer.
+        // The caller's connection is reset, so no final answer is expected any more.
         call.caller = CallRecord::CallerState::finished;
         call.damaged = true;
     }
@@ -283,7 +287,7 @@
     char id[17];
     std::snprintf(id, sizeof id, "%04x%012llx", settings_.number + 1,
                   static_cast<unsigned long long>(++calls_placed_));
-    const CallId call = id;
+    const CallId call = id;  // the hub's number and a sequence number, in hexadecimal
     CallRecord& record = truth_.calls[call];
     record.from = settings_.number;
     record.to = to;
@@ -297,6 +301,7 @@
     request.time_left = settings_.caller_time_limit;
     request.destination = to;
     request.width = wide ? settings_.wide_width : 1;
+    // 4 % of the callers cancel within 300 ms, unless they have a final answer by then.
     if (random_.draw_bool(0.04)) {
         simulation_.schedule_after(
             random_.draw_between({}, milliseconds(300)), [this, call, incarnation = incarnation_] {
@@ -319,6 +324,8 @@
     if (record.caller != CallRecord::CallerState::waiting) return;
     record.caller = CallRecord::CallerState::connected;
     ++truth_.answered;
+    // Either the caller or the line hangs up, each in half of the cases; a call within the hub is always
+    // ended by its caller.
     const Duration holding_time = random_.draw_exponential(settings_.mean_holding_time);
     const bool caller_ends = random_.draw_bool(0.5);
     const int to = record.to;
@@ -349,15 +356,17 @@
 
 // ---- Lines -------------------------------------------------------------------------------------------
 
+// Of 100 calls, the lines answer 90, reject 5, fail 3 and do not respond to 2.
 void Hub::set_up_line(const CallId& call) {
     const double outcome = random_.draw_unit();
-    if (outcome > 0.98) return;  // no answer
+    if (outcome > 0.98) return;  // no response
     simulation_.schedule_after(random_.draw_between(kAnswerDelayMin, kAnswerDelayMax),
                                [this, call, outcome, incarnation = incarnation_] {
                                    run_when_responsive([this, call, outcome, incarnation] {
                                        if (incarnation != incarnation_) return;
-                                       const ExchangeId* at = process_->gatekeeper.exchange_of(call);
-                                       if (!at || *at != kLinesExchange) return;
+                                       const ExchangeId* exchange = process_->gatekeeper.exchange_of(call);
+                                       if (!exchange || *exchange != kLinesExchange)
+                                           return;  // no longer at the lines
                                        if (outcome > 0.95)
                                            return process_->gatekeeper.on_call_ended(
                                                kLinesExchange, call, Outcome::failed, Cause::none, {});
--- a/src/lab/hub.hpp
+++ b/src/lab/hub.hpp
@@ -20,16 +20,19 @@
 struct CallRecord {
     int from = 0, to = 0;  // numbers of the hubs
     Instant placed{};
+    // `finished`: the caller has hung up, was rejected or cut, or lost its connection in a crash.
     enum class CallerState { waiting, connected, finished } caller = CallerState::waiting;
     bool line_connected = false;
-    bool cancelled = false;
-    bool damaged = false;   // a crash or a fault has removed state that one of its hubs needs
-    int final_answers = 0;  // answers and rejections that the caller received
+    bool cancelled = false;  // by its caller, before an answer
+    bool damaged = false;    // a crash or a fault has removed state that one of its hubs needs
+    int final_answers = 0;   // answers and rejections that the caller received
     // True while the call is answered at both ends and no fault has damaged it.
     bool is_intact() const { return caller == CallerState::connected && line_connected && !damaged; }
 };
 
-// All calls of an experiment and its counters, which the hubs share.
+// All calls of an experiment, and counters of them; all hubs share it. Double answers are final answers
+// beyond the first of a call. Calls that were cut, and circuits that an audit freed, count only if the call
+// was intact.
 struct GroundTruth {
     std::map<CallId, CallRecord> calls;
     std::uint64_t double_answers = 0, cut_calls = 0, answered = 0, live_cut_by_audit = 0;
@@ -72,24 +75,28 @@
     Hub(Simulation& simulation, Random& random, GroundTruth& truth, HubSettings settings);
     ~Hub();
 
+    // This hub's end of the link of that group, and the link itself, to be attached before start().
     LinkEnd& link_end(std::uint32_t group);
     void attach_link(std::uint32_t group, Link& link);
-    // Starts a process, which restores its calls if it is given the ledger.
+    // Starts a process, which records its calls in the ledger and restores those that it has if
+    // `with_ledger`.
     void start(bool with_ledger);
     // Ends the process without notice. Its connections close.
     void crash();
-    // The process does nothing for that long; events wait.
+    // The process does nothing for that long; events wait until then.
     void stall(Duration length) { stalled_until_ = std::max(stalled_until_, simulation_.now() + length); }
+    // True while there is a process, stalled or not.
     bool is_running() const { return process_ != nullptr; }
     bool is_stalled() const { return simulation_.now() < stalled_until_; }
 
-    // A caller of this hub calls a number of hub `to`.
+    // A caller of this hub calls a number of hub `to`. Nothing happens if the hub is stalled or not running.
     void place_call(int to, bool wide);
-    // Sets the function that releases a call by its line at another hub (number of the hub, call).
+    // Sets the function that lets the line of a call at another hub hang up; it gets the hub's number and the
+    // call.
     void on_far_line_release(std::function<void(int, const CallId&)> release) {
         release_far_line_ = std::move(release);
     }
-    // The line of this hub hangs up.
+    // The line of this hub that has the call hangs up.
     void release_by_line(const CallId& call);
 
     // Both return nullptr while no process is running.
@@ -104,9 +111,12 @@
 
     // Runs the task now, or when the hub no longer stalls; drops it if the process has ended by then.
     void run_when_responsive(std::function<void()> task);
+    // The caller of this hub that has the call hangs up.
     void release_by_caller(const CallId& call);
+    // What the caller receives: an answer, and a rejection or release.
     void handle_answer(const CallId& call);
     void handle_release(const CallId& call, ReleaseReason reason);
+    // Offers the call to a subscriber line.
     void set_up_line(const CallId& call);
     void report_free_lines();
 
--- a/src/lab/link.cpp
+++ b/src/lab/link.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kDelayMin = milliseconds(4), kDelayMax = milliseconds(16);
+constexpr Duration kDelayMin = milliseconds(4), kDelayMax = milliseconds(16);  // in one direction
 // The next attempt to connect follows after one to two times this.
 constexpr Duration kReconnectDelay = milliseconds(250);
 
@@ -55,6 +55,7 @@
     const int closing_side = side(by), other = 1 - closing_side;
     if (!std::exchange(open_[closing_side], false)) return;
     if (!open_[other]) return;
+    // The other end receives the close like bytes, after a delay.
     const Instant notification_time =
         std::max(simulation_.now(), is_interrupted() ? interrupted_until_ : Instant{}) + kDelayMax;
     simulation_.schedule_at(notification_time, [this, other, connection = connection_] {
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -16,7 +16,7 @@
     virtual bool can_connect() const = 0;  // true if a process is running that accepts connections
     virtual void on_connected() = 0;
     virtual void on_received(std::string bytes) = 0;
-    virtual void on_closed() = 0;
+    virtual void on_closed() = 0;  // by the other end or by a break; not after close() by this end
 
    protected:
     ~LinkEnd() = default;
--- a/src/lab/live.cpp
+++ b/src/lab/live.cpp
@@ -28,6 +28,7 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kHost = "127.0.0.1";
+// The end of a gatekeeper's configuration, from the quote that closes the address on.
 constexpr const char* kModuleSettings = R"(","settings":{"self_index":0,"fleet_size":2,)"
                                         R"("family_info":{"release_s":0.3,"class_width":[1,3]},)"
                                         R"("grades":[{"name":"move","aim_s":1,"deadline_s":3},)"
@@ -36,10 +37,11 @@
                                         R"("obligations":{"drain_grace_s":0.5,"grace_to_answer_s":0.02}}})";
 constexpr Duration kMeanHoldingTime = std::chrono::seconds(1);
 constexpr double kWideShare = 0.1;         // share of calls that take three circuits
-constexpr milliseconds kTickInterval{50};  // calls are placed once in that time
+constexpr milliseconds kTickInterval{50};  // calls are placed in batches, at this interval
+// Limits for the gatekeepers to start, and for the last calls to end.
 constexpr auto kStartTimeout = std::chrono::seconds(10), kDrainTimeout = std::chrono::seconds(15);
 
-// Splits the bytes of a connection into messages and passes them to `handler`.
+// Splits the bytes of a connection into messages and passes them to `handler`; for Connection::read_into().
 struct ConnectionReader {
     MessageReader messages;
     std::function<void(const Message&)> handler;
@@ -49,15 +51,16 @@
     }
 };
 
-// A gatekeeper as a child process, whose files are in `folder`. The kernel kills it if this process dies.
+// A gatekeeper as a child process. `folder` has its files, `operators_port` is the port of its operators'
+// address. The destructor ends it and waits for it; the kernel kills it if this process dies.
 class ChildProcess {
    public:
-    ChildProcess(const std::string& program, const std::string& folder, int operators) {
+    ChildProcess(const std::string& program, const std::string& folder, int operators_port) {
         pid_ = fork();
         if (pid_ != 0) return;
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         setenv("BALANCER_CONFIG", (folder + "/config.json").c_str(), 1);
-        setenv("BALANCER_OPERATOR", (std::string(kHost) + ':' + std::to_string(operators)).c_str(), 1);
+        setenv("BALANCER_OPERATOR", (std::string(kHost) + ':' + std::to_string(operators_port)).c_str(), 1);
         setenv("TMPDIR", folder.c_str(), 1);
         unsetenv("BALANCER_LISTEN"), unsetenv("BALANCER_NAME");
         if (!std::freopen((folder + "/log").c_str(), "w", stderr)) _exit(127);
@@ -80,12 +83,12 @@
 struct CallCounts {
     std::map<CallId, int> final_answers;  // number of final answers by call
     std::uint64_t placed = 0, answered = 0, rejected = 0, ended = 0;
-    int standing = 0;
+    int standing = 0;  // answered and not yet over
 };
 
 // One hub: its number, the ports of its addresses, its process, and the connections of its callers and lines.
 struct Hub {
-    int number = 0, callers = 0, operators = 0, trunk = 0, lines = 0;
+    int number = 0, callers_port = 0, operators_port = 0, trunk_port = 0, lines_port = 0;
     std::string folder;
     std::unique_ptr<ChildProcess> child;
     std::unique_ptr<tcp::acceptor> lines_acceptor;
@@ -105,10 +108,11 @@
             hub.number = h + 1;
             hub.folder = folder_ + "/hub-" + std::to_string(hub.number);
             std::filesystem::create_directories(hub.folder);
-            for (int* port : {&hub.callers, &hub.operators, &hub.trunk}) *port = find_free_port();
+            for (int* port : {&hub.callers_port, &hub.operators_port, &hub.trunk_port})
+                *port = find_free_port();
             hub.lines_acceptor =
                 std::make_unique<tcp::acceptor>(io_, tcp::endpoint(net::asio::ip::make_address(kHost), 0));
-            hub.lines = hub.lines_acceptor->local_endpoint().port();
+            hub.lines_port = hub.lines_acceptor->local_endpoint().port();
         }
     }
     ~LiveExperiment() {
@@ -121,46 +125,51 @@
         for (int h = 0; h < 2; ++h) write_files(hubs_[h], hubs_[1 - h]);
         for (Hub& hub : hubs_) {
             net::spawn(io_, serve_lines(hub));
-            hub.child = std::make_unique<ChildProcess>(settings_.program, hub.folder, hub.operators);
+            hub.child = std::make_unique<ChildProcess>(settings_.program, hub.folder, hub.operators_port);
         }
         std::printf(
             "two gatekeepers, one group of %d circuits; callers at ports %d and %d, operators at %d and %d\n",
-            settings_.circuits, hubs_[0].callers, hubs_[1].callers, hubs_[0].operators, hubs_[1].operators);
+            settings_.circuits, hubs_[0].callers_port, hubs_[1].callers_port, hubs_[0].operators_port,
+            hubs_[1].operators_port);
         net::spawn(io_, run_calls());
         io_.run();
         return result_;
     }
 
    private:
+    // A port that no process listens on now. Another process may take it before the gatekeeper does.
     int find_free_port() {
         tcp::acceptor probe(io_, tcp::endpoint(net::asio::ip::make_address(kHost), 0));
         return probe.local_endpoint().port();
     }
     static std::string address_of(int port) { return std::string(kHost) + ':' + std::to_string(port); }
 
+    // Writes the hub's operator's file and configuration. Hub 1 has the lower point code, so it dials.
     void write_files(const Hub& hub, const Hub& far) const {
         const std::string own = std::to_string(hub.number), other = std::to_string(far.number);
         std::ofstream(hub.folder + "/nettlestall.xml")
             << "<nettlestall>\n <trunk point=\"" << own << "0\" number=\"" << own << "\" listen=\""
-            << address_of(hub.trunk) << "\" ledger=\"" << hub.folder << "\">\n  <lines exchange=\"lines-"
-            << own << "\" number=\"" << own << "\" address=\"" << address_of(hub.lines)
+            << address_of(hub.trunk_port) << "\" ledger=\"" << hub.folder << "\">\n  <lines exchange=\"lines-"
+            << own << "\" number=\"" << own << "\" address=\"" << address_of(hub.lines_port)
             << "\"/>\n  <group id=\"1\" exchange=\"hub-" << other << "\" number=\"" << other
             << "\" far-point=\"" << other << "0\" circuits=\"" << settings_.circuits << '"'
-            << (hub.number < far.number ? " dial=\"" + address_of(far.trunk) + '"' : "")
+            << (hub.number < far.number ? " dial=\"" + address_of(far.trunk_port) + '"' : "")
             << "><audit every-s=\"2\" patience-s=\"1\"/></group>\n </trunk>\n</nettlestall>\n";
         std::ofstream(hub.folder + "/config.json") << R"({"name":"hub-)" << own << R"(","listen":")"
-                                                   << address_of(hub.callers) << kModuleSettings << '\n';
+                                                   << address_of(hub.callers_port) << kModuleSettings << '\n';
     }
 
     // ---- Lines
-    // Each call is answered after 20 to 120 ms. Half of the lines then hang up, the others wait for the
-    // caller.
+    // Each call is answered after 20 to 120 ms. Half of the lines then hang up after a time of
+    // kMeanHoldingTime on average; callers hang up after three times that, if the line has not.
 
+    // Reports 500 free lines of 500.
     static void report_free_lines(Hub& hub) {
         hub.line->send(
             FrameBuilder(MessageType::group_state, "").text(ParameterCode::report, "x0:500;x1:500").build());
     }
 
+    // Accepts the gatekeeper's connections to its carrier switch, one after the other, and answers its calls.
     awaitable<void> serve_lines(Hub& hub) {
         for (;;) {
             auto [error, socket] =
@@ -205,6 +214,7 @@
                              .build(std::make_shared<const std::string>("media offered")));
     }
 
+    // Handles a message that a caller of the hub receives.
     void handle_message(Hub& hub, const Message& message) {
         const CallId call = message.call();
         const auto entry = counts_.final_answers.find(call);
@@ -225,11 +235,13 @@
         }
     }
 
+    // Connects the callers to the hub; throws if the gatekeeper does not start within kStartTimeout.
     awaitable<void> connect_caller(Hub& hub) {
         tcp::socket socket(io_);
-        const auto limit = std::chrono::steady_clock::now() + kStartTimeout;
-        while (co_await net::connect(socket, *net::to_endpoint(address_of(hub.callers)), milliseconds(500))) {
-            if (std::chrono::steady_clock::now() > limit)
+        const auto deadline = std::chrono::steady_clock::now() + kStartTimeout;
+        while (co_await net::connect(socket, *net::to_endpoint(address_of(hub.callers_port)),
+                                     milliseconds(500))) {
+            if (std::chrono::steady_clock::now() > deadline)
                 throw std::runtime_error("a gatekeeper does not start");
             socket = tcp::socket(io_);
             co_await wait(kTickInterval);
@@ -256,10 +268,11 @@
         });
     }
 
-    // Reads a metric of the group from the operators' address of the hub; -1 if there is no reply.
+    // Reads a metric of the group from the operators' address of the hub; -1 if there is none.
     awaitable<long> fetch_metric(const Hub& hub, std::string name) {
         tcp::socket socket(io_);
-        if (co_await net::connect(socket, *net::to_endpoint(address_of(hub.operators)), milliseconds(500)))
+        if (co_await net::connect(socket, *net::to_endpoint(address_of(hub.operators_port)),
+                                  milliseconds(500)))
             co_return -1;
         const std::string request = "GET /metrics HTTP/1.1\r\nHost: gatekeeper\r\n\r\n";
         co_await net::asio::async_write(socket, net::asio::buffer(request),
@@ -271,12 +284,13 @@
         co_return found == std::string::npos ? -1 : std::atol(reply.c_str() + reply.find(':', found) + 1);
     }
 
+    // Waits until the group is in service, places calls for the configured time, and prints a line a second.
     awaitable<void> run_calls() {
         for (Hub& hub : hubs_) co_await connect_caller(hub);
-        const auto limit = std::chrono::steady_clock::now() + kStartTimeout;
+        const auto deadline = std::chrono::steady_clock::now() + kStartTimeout;
         for (Hub& hub : hubs_)
             while (co_await fetch_metric(hub, "up") != 1) {
-                if (std::chrono::steady_clock::now() > limit)
+                if (std::chrono::steady_clock::now() > deadline)
                     throw std::runtime_error("the circuit group does not come into service");
                 co_await wait(kTickInterval);
             }
@@ -307,10 +321,11 @@
         io_.stop();
     }
 
+    // Waits until all calls are over, at most kDrainTimeout, prints the totals and sets the exit code.
     awaitable<void> print_summary() {
-        const auto limit = std::chrono::steady_clock::now() + kDrainTimeout;
+        const auto deadline = std::chrono::steady_clock::now() + kDrainTimeout;
         long busy = 1;
-        while (std::chrono::steady_clock::now() < limit && (busy != 0 || counts_.standing > 0)) {
+        while (std::chrono::steady_clock::now() < deadline && (busy != 0 || counts_.standing > 0)) {
             co_await wait(milliseconds(200));
             busy = std::max(co_await fetch_metric(hubs_[0], "busy"), co_await fetch_metric(hubs_[1], "busy"));
         }
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+// Each function adds the subcommand of one experiment, which runs while the command line is parsed.
 void add_glare(CLI::App& app) {
     using namespace nettlestall::lab;
     auto settings = std::make_shared<GlareSettings>();
--- a/src/lab/search.cpp
+++ b/src/lab/search.cpp
@@ -18,13 +18,15 @@
 using trunk::LegState;
 
 constexpr Duration kTimeStep = std::chrono::seconds(6);  // longer than the timers of releases and resets
-constexpr int kMaxQuiescenceRounds = 60;
+constexpr int kMaxQuiescenceRounds = 60;                 // of 10 s each
 
 // A broken rule for dual seizures: both ends decide that the other's seizure wins.
 bool never_wins(const trunk::PointCodes&, const trunk::CircuitList&, const trunk::CircuitList&) {
     return false;
 }
 
+// The rules of one end. One mismatch suffices for an audit to free a circuit, and audits run only as steps of
+// the search or after a minute.
 GroupRules rules_for(const SearchSettings& settings, int end) {
     GroupRules rules;
     rules.point_codes = end == 0 ? trunk::PointCodes{1, 2} : trunk::PointCodes{2, 1};
@@ -38,7 +40,7 @@
 
 // ---- The state of the two ends -------------------------------------------------------------------------
 
-// Both ends, the messages between them, and how many faults and calls are still to come.
+// Both ends, the messages in transit between them, and how many calls, faults and other steps may still come.
 struct SystemState {
     explicit SystemState(const SearchSettings& settings)
         : ends{Group(rules_for(settings, 0), 1), Group(rules_for(settings, 1), 1)},
@@ -55,13 +57,16 @@
 
     std::array<Group, 2> ends;
     std::array<std::deque<trunk::Message>, 2> in_transit;  // by receiving end
-    std::array<int, 2> calls;
+    std::array<int, 2> calls;                              // by end
     std::array<std::uint32_t, 2> incarnations{1, 1};
     int breaks, resumes, crashes, losses, repeats, ticks, audits;
+    // Whether the link is up; whether it must start anew, that is, may not be resumed; whether an end has
+    // lost a call's state or received a duplicate, after which audits may free calls.
     bool is_up = false, must_restart_link = false, any_state_lost = false;
     Instant now{std::chrono::hours(1)};
-    std::string violation;
+    std::string violation;  // the rule that was broken; empty: none
 
+    // Carries out what the group of end `by` wants done.
     void apply_effects(int by, const Effects& effects) {
         for (const trunk::Effect& effect : effects) {
             if (const auto* send = std::get_if<trunk::Send>(&effect))
@@ -76,6 +81,7 @@
     const Group& end(int which) const { return ends[static_cast<std::size_t>(which)]; }
     std::deque<trunk::Message>& inbox(int which) { return in_transit[static_cast<std::size_t>(which)]; }
 
+    // Take the link down and up at both ends. Unless the link is resumed, the messages in transit are lost.
     void link_down() {
         is_up = false;
         for (int e : {0, 1}) {
@@ -128,7 +134,7 @@
         apply_effects(e, effects);
     }
 
-    // Equal for equal states; leaves out the time itself.
+    // A text that is equal for equal states. It holds times relative to now, not the clock itself.
     std::string state_key() const {
         std::string text;
         for (const Group& group : ends) text += group.state_key(now) + '|';
@@ -142,7 +148,7 @@
         return text + (is_up ? 'u' : 'd') + (must_restart_link ? 'r' : '-') + (any_state_lost ? 'l' : '-');
     }
 
-    // If both ends hold a circuit for an accepted call, it must be the same call.
+    // Sets the violation if both ends hold a circuit for accepted calls and it is not the same call.
     void check_ownership() {
         for (int n = 1; n <= ends[0].circuits().size() && violation.empty(); ++n) {
             const trunk::Circuit &a = ends[0].circuits().at(n), &b = ends[1].circuits().at(n);
@@ -172,14 +178,16 @@
     }
 
    private:
+    // Changes the state as one event does.
     using Step = std::function<void(SystemState&)>;
 
-    // Notes the state; true if it was visited before. Keeps two hashes instead of the state itself.
+    // Records the state; true if it was visited before. Keeps two hashes instead of the state, to save
+    // memory.
     bool mark_seen(const SystemState& state) {
         const std::string key = state.state_key();
-        const std::uint64_t one = std::hash<std::string_view>{}(key);
-        const std::uint64_t two = std::hash<std::string_view>{}(key + '*');
-        return !visited_.insert({one, two}).second;
+        const std::uint64_t first_hash = std::hash<std::string_view>{}(key);
+        const std::uint64_t second_hash = std::hash<std::string_view>{}(key + '*');
+        return !visited_.insert({first_hash, second_hash}).second;
     }
 
     // Visits the state and all that can be reached from it. Returns false, and leaves the trace as it is, on
@@ -297,6 +305,8 @@
         return false;
     }
 
+    // True if no message is in transit, and both ends are in service and have neither calls nor busy
+    // circuits.
     static bool is_idle(const SystemState& state) {
         return state.in_transit[0].empty() && state.in_transit[1].empty() &&
                std::all_of(state.ends.begin(), state.ends.end(), [](const Group& group) {
@@ -305,7 +315,9 @@
     }
 
     struct Hash {
-        std::size_t operator()(const std::pair<std::uint64_t, std::uint64_t>& of) const { return of.first; }
+        std::size_t operator()(const std::pair<std::uint64_t, std::uint64_t>& hashes) const {
+            return hashes.first;
+        }
     };
     const SearchSettings& settings_;
     SearchResult result_;
--- a/src/lab/search.hpp
+++ b/src/lab/search.hpp
@@ -12,7 +12,7 @@
 
 namespace nettlestall::lab {
 
-// The bounds of the search.
+// The bounds of the search, and the rules that the two ends follow.
 struct SearchSettings {
     int circuits = 2;
     int calls = 2;  // that each end may seize circuits for
@@ -27,6 +27,7 @@
 
 // What the search has found.
 struct SearchResult {
+    // States visited, steps taken from them, and states from which it was checked that circuits become idle.
     std::uint64_t states = 0, transitions = 0, quiescence_checks = 0;
     bool complete = false;           // all states within the bounds were visited, without a violation
     std::string violation;           // the rule that was broken; empty: none
--- a/src/lab/simulation.hpp
+++ b/src/lab/simulation.hpp
@@ -24,11 +24,12 @@
     double draw_unit() { return boost::random::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
     // True with that probability.
     bool draw_bool(double probability) { return draw_unit() < probability; }
+    // Uniformly distributed from `min` to less than `max`.
     Duration draw_between(Duration min, Duration max) {
         return min +
                Duration(static_cast<std::int64_t>(draw_unit() * static_cast<double>((max - min).count())));
     }
-    // Exponentially distributed, at least one microsecond.
+    // Exponentially distributed with that mean, at least one microsecond.
     Duration draw_exponential(Duration mean) {
         const double rate = 1.0 / static_cast<double>(mean.count());
         return Duration(
@@ -45,7 +46,7 @@
     using Task = std::function<void()>;
 
     Instant now() const { return now_; }
-    // Runs the task at `time`, or at once on the next run if that is past.
+    // Runs the task at `time`, or at the current time if that is past.
     void schedule_at(Instant time, Task task) {
         events_.push({std::max(time, now_), ++last_sequence_, std::move(task)});
     }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,6 +12,7 @@
 namespace nettlestall::log {
 namespace {
 
+// Both are indexed by Level.
 constexpr std::string_view kLevelNames[] = {"debug", "info", "warning", "error"};
 constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                        spdlog::level::warn, spdlog::level::err};
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -12,12 +12,13 @@
 
 namespace nettlestall::log {
 
+// How important a message is, in ascending order.
 enum class Level { debug, info, warning, error };
 
 // Returns the level with that name; Level::info if there is none.
 Level parse_level(std::string_view name);
 
-// Writes lines of text from Level::info on until it is configured otherwise.
+// Writes lines of text from Level::info on until it is configured otherwise. Only one thread may use it.
 class Log {
    public:
     Log();
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -1,5 +1,5 @@
 // The operator's file: values and defaults that are read, errors with their place, and what a reload can
-// change. Also the log's JSON lines.
+// change. Also the log's JSON lines and level names.
 #include "config/operator_file.hpp"
 
 #include <fstream>
@@ -87,6 +87,7 @@
                  {"f.xml:1:"});
 }
 
+// Random bytes and truncation: the file is accepted or refused with an error, nothing else.
 void corrupted_files_are_handled() {
     test::Random random{11};
     const std::string valid = trunk(kGroup + "<audit every-s=\"9\"/></group>");
--- a/tests/trunk/glare_test.cpp
+++ b/tests/trunk/glare_test.cpp
@@ -32,7 +32,8 @@
     Hubs hubs(arguments[1], 4, false);
     Peer lines[2] = {hubs.lines(Hubs::a), hubs.lines(Hubs::b)};
     hubs.await_link();
-    Peer callers[2] = {Peer::connect(hubs.at(Hubs::a).callers), Peer::connect(hubs.at(Hubs::b).callers)};
+    Peer callers[2] = {Peer::connect(hubs.at(Hubs::a).callers_port),
+                       Peer::connect(hubs.at(Hubs::b).callers_port)};
     CallCounts counts;
     std::uint64_t last_id = 0;
     const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
@@ -43,7 +44,8 @@
             for (int h = 0; h < 2; ++h) {
                 char id[17];
                 std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++last_id));
-                // Each takes three of the four circuits, so at most one of the two can be answered.
+                // The first call of each hub takes three of the four circuits, so at most one of these two
+                // can hold its circuits at a time.
                 bytes[h] += Hubs::call_to(id, 2 - h, i == 0 ? "live-board" : "move", 2000);
                 open[id] = h;
                 ++counts.calls;
@@ -82,11 +84,11 @@
     hubs.await_idle();
     int glares = 0, glares_lost = 0, seizures = 0;
     for (int h = 0; h < 2; ++h) {
-        glares += get_metric(hubs.at(h).operators, "app.trunk.7.glares");
-        glares_lost += get_metric(hubs.at(h).operators, "app.trunk.7.glares_lost");
-        seizures += get_metric(hubs.at(h).operators, "app.trunk.7.seizures");
-        CHECK(get_metric(hubs.at(h).operators, "app.trunk.7.audit_freed") == 0);
-        CHECK(get_metric(hubs.at(h).operators, "app.trunk.7.contradictions") == 0);
+        glares += get_metric(hubs.at(h).operators_port, "app.trunk.7.glares");
+        glares_lost += get_metric(hubs.at(h).operators_port, "app.trunk.7.glares_lost");
+        seizures += get_metric(hubs.at(h).operators_port, "app.trunk.7.seizures");
+        CHECK(get_metric(hubs.at(h).operators_port, "app.trunk.7.audit_freed") == 0);
+        CHECK(get_metric(hubs.at(h).operators_port, "app.trunk.7.contradictions") == 0);
     }
     std::printf("%d calls, %d answered, %d refused or failed; %d seizures, %d glares lost\n", counts.calls,
                 counts.answered, counts.rejected, seizures, glares_lost);
--- a/tests/trunk/lab_test.cpp
+++ b/tests/trunk/lab_test.cpp
@@ -10,6 +10,8 @@
 
 namespace {
 
+// After hours of faults, each call has had exactly one final answer, no circuit is stuck, and audits have not
+// cut an intact call. Enough happens in the run for that to mean something.
 void faults_leave_no_stuck_circuits(double hours) {
     for (const int hubs : {2, 4})
         for (const std::uint64_t seed : {1, 2}) {
@@ -32,6 +34,8 @@
     CHECK(first != to_json(settings, run_glare(settings)));
 }
 
+// Without audits and crashes circuits stay stuck; without hunting by parity there are more than twice as many
+// dual seizures. Crashes are off in the first case because they free stuck circuits.
 void baselines_do_worse() {
     GlareSettings settings;
     settings.load = 0.3;
@@ -54,6 +58,8 @@
     CHECK(is_sound({.calls = 1, .losses = 1, .audits = 1}) && is_sound({.calls = 1, .ticks = 1}));
 }
 
+// The search finds a wrong rule for dual seizures, and audits that draw conclusions about circuits which
+// changed after the query.
 void broken_rules_are_found() {
     const auto finds_violation = [](const SearchSettings& settings) {
         const SearchResult result = search(settings);
--- a/tests/trunk/program_test.cpp
+++ b/tests/trunk/program_test.cpp
@@ -14,11 +14,13 @@
 constexpr int a = Hubs::a, b = Hubs::b;
 const CallId kOne = "0000000000000001", kTwo = "0000000000000002", kThree = "0000000000000003";
 
+// Calls reach the other hub with all their data, and are answered and released, by the line and by the
+// caller.
 void calls_pass_both_ways_over_the_group(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
-    Peer caller = Peer::connect(hubs.at(a).callers);
+    Peer caller = Peer::connect(hubs.at(a).callers_port);
     caller.send(Hubs::call_to(kOne, 2, "live-board"));
     const Received offer = lines_b.receive();
     CHECK(offer.type == MessageType::set_up && offer.call == kOne && offer.service_class == "live-board");
@@ -32,7 +34,7 @@
     CHECK(over.type == MessageType::release && over.call == kOne && over.cause == 16);
     hubs.await_idle();
     // A call in the other direction, which its caller ends.
-    Peer other = Peer::connect(hubs.at(b).callers);
+    Peer other = Peer::connect(hubs.at(b).callers_port);
     other.send(Hubs::call_to(kTwo, 1));
     CHECK(lines_a.receive().call == kTwo);
     lines_a.send(answer(kTwo));
@@ -49,7 +51,7 @@
         Hubs hubs(path, 4, true);
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
-        Peer caller = Peer::connect(hubs.at(a).callers);
+        Peer caller = Peer::connect(hubs.at(a).callers_port);
         caller.send(Hubs::call_to(kOne, 2));
         CHECK(lines_b.receive().call == kOne);
         lines_b.send(answer(kOne));
@@ -58,7 +60,7 @@
         Peer lines_again = hubs.lines(crashed);
         hubs.await_link();
         CHECK(hubs.busy(a) == 1 && hubs.busy(b) == 1);
-        Peer caller_again = crashed == a ? Peer::connect(hubs.at(a).callers) : std::move(caller);
+        Peer caller_again = crashed == a ? Peer::connect(hubs.at(a).callers_port) : std::move(caller);
         (crashed == b ? lines_again : lines_b).send(release(kOne, 16));
         const Received over = caller_again.receive();
         CHECK(over.type == MessageType::release && over.call == kOne && over.cause == 16);
@@ -66,13 +68,13 @@
     }
 }
 
-// The successor process takes the groups and their answered calls from the ledger.
+// The successor process takes over the groups, and restores their answered calls from the ledger.
 void answered_call_survives_an_upgrade(const char* path) {
     for (const int upgraded : {a, b}) {
         Hubs hubs(path, 4, true);
         Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
         hubs.await_link();
-        Peer caller = Peer::connect(hubs.at(a).callers);
+        Peer caller = Peer::connect(hubs.at(a).callers_port);
         caller.send(Hubs::call_to(kOne, 2));
         CHECK(lines_b.receive().call == kOne);
         lines_b.send(answer(kOne));
@@ -81,7 +83,7 @@
         auto successor = hubs.successor(upgraded, operators_port);
         Peer successor_lines = hubs.lines(upgraded);
         while (!succeeds(operators_port, "GET /ready")) usleep(5000);
-        hubs.at(upgraded).operators = operators_port;
+        hubs.at(upgraded).operators_port = operators_port;
         hubs.await_link();
         hubs.at(upgraded).program->signal(SIGTERM);
         CHECK(hubs.at(upgraded).program->exit_code() == 0);
@@ -95,11 +97,12 @@
     }
 }
 
+// Without a ledger, the calls of a crashed hub are cut with cause 41, and their circuits become idle again.
 void crash_without_ledger_frees_circuits(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
-    Peer caller = Peer::connect(hubs.at(a).callers);
+    Peer caller = Peer::connect(hubs.at(a).callers_port);
     caller.send(Hubs::call_to(kOne, 2, "live-board"));
     CHECK(lines_b.receive().call == kOne);
     lines_b.send(answer(kOne));
@@ -143,11 +146,11 @@
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
-    Peer caller = Peer::connect(hubs.at(a).callers);
+    Peer caller = Peer::connect(hubs.at(a).callers_port);
     caller.send(Hubs::call_to(kOne, 2));
     CHECK(lines_b.receive().call == kOne);
     const auto expect_closed = [&](const std::string& bytes) {
-        Peer peer = Peer::connect(hubs.at(b).trunk);
+        Peer peer = Peer::connect(hubs.at(b).trunk_port);
         peer.send(bytes);
         peer.read_all();  // until it is closed
     };
@@ -158,19 +161,23 @@
     expect_closed(encode(Hello{.point = 10, .far_point = 20, .group = 8, .circuits = 4, .incarnation = 1}));
     hubs.at(b).program->await_log("group 8 is not known here");
     hubs.at(b).program->await_log("number of circuits is 5 there and 4 here");
+    // Connections that send nothing do not disturb the call either.
     std::vector<Peer> silent;
-    for (int i = 0; i < 20; ++i) silent.push_back(Peer::connect(hubs.at(b).trunk));
+    for (int i = 0; i < 20; ++i) silent.push_back(Peer::connect(hubs.at(b).trunk_port));
     lines_b.send(answer(kOne));
     CHECK(caller.receive().type == MessageType::answer && hubs.busy(b) == 1);
 }
 
+// The command `nettlestall circuits`: its exit codes, and that blocked circuits get no calls and stay blocked
+// when the hub crashes, until operators unblock them.
 void operators_list_block_and_audit(const char* path) {
     Hubs hubs(path, 4, true);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
     hubs.await_link();
     const auto run_command = [&](const std::string& arguments, int expected) {
         const std::string line = std::string(path) + " circuits --at " + own_address() + ':' +
-                                 std::to_string(hubs.at(a).operators) + ' ' + arguments + " >/dev/null 2>&1";
+                                 std::to_string(hubs.at(a).operators_port) + ' ' + arguments +
+                                 " >/dev/null 2>&1";
         const int status = std::system(line.c_str());
         CHECK(WIFEXITED(status) && WEXITSTATUS(status) == expected);
     };
@@ -181,7 +188,7 @@
     while (hubs.circuits(b).find("1 idle - - - - no soft") == std::string::npos) usleep(5000);
     CHECK(hubs.circuits(a, "").find("7 hub-2 20 up 4 1 0 3 0 0") != std::string::npos);
     // A call that needs three circuits is rejected, and circuits stay blocked over a crash.
-    Peer caller = Peer::connect(hubs.at(a).callers);
+    Peer caller = Peer::connect(hubs.at(a).callers_port);
     caller.send(Hubs::call_to(kOne, 2, "live-board", 300));
     CHECK(caller.receive().type == MessageType::release);
     hubs.crash(a);
@@ -194,6 +201,8 @@
     run_command("list", 4);
 }
 
+// SIGHUP reads the operator's file again: a file that is invalid or needs a restart is refused and the log
+// says why; a valid change of the audits takes effect in service.
 void reload_applies_whole_file_or_nothing(const char* path) {
     Hubs hubs(path, 4, false);
     Peer lines_a = hubs.lines(a), lines_b = hubs.lines(b);
@@ -208,7 +217,7 @@
     hubs.write_file(a, 4, false, "<audit every-s=\"0.5\" patience-s=\"0.2\"/>");
     program.signal(SIGHUP);
     program.await_log("configuration taken over");
-    while (operator_reply(hubs.at(a).operators, "GET /metrics").find("app.trunk.7.audits:0|") !=
+    while (operator_reply(hubs.at(a).operators_port, "GET /metrics").find("app.trunk.7.audits:0|") !=
            std::string::npos)
         usleep(5000);
 }
