--- a/src/trunk/group.cpp
+++ b/src/trunk/group.cpp
@@ -239,7 +239,7 @@
 // ---- Seizures --------------------------------------------------------------------------------------
 
 // Settles the glares between the far end's seizure and this end's seizures that crossed it. Seizures of this
-// end that lose are reported as ended at once: their set-ups never reached the far hub and may be routed
+// end that lose are reported as ended at once: the far hub is never offered their calls, which may be routed
 // again. False if a seizure of this end wins.
 bool Group::resolve_glare(Instant now, const Seize& m, Effects& out) {
     std::set<CallRef> crossed;
--- a/src/trunk/terms.hpp
+++ b/src/trunk/terms.hpp
@@ -35,9 +35,9 @@
 // Why a seizure failed or a call ended. The values are sent to the far end.
 enum class Reason : std::uint8_t {
     normal = 0,     // the call ended normally, or its set-up was cancelled
-    glare = 1,      // the seizure lost a dual seizure (Q.764, 2.9.1); the call never reached the far hub
-    not_idle = 2,   // one of its circuits is not idle at the far end; the call never reached the far hub
-    unusable = 3,   // one of its circuits is blocked at the far end; the call never reached the far hub
+    glare = 1,      // the seizure lost a dual seizure (Q.764, 2.9.1); the far hub was never offered the call
+    not_idle = 2,   // one of its circuits is not idle at the far end; the far hub was never offered the call
+    unusable = 3,   // one of its circuits is blocked at the far end; the far hub was never offered the call
     refused = 4,    // by the far end's decision module; the set-up may safely be tried again
     failed = 5,     // at the far end
     cut = 6,        // the call had been answered and was cut off
--- a/src/trunk/trunk_manager.cpp
+++ b/src/trunk/trunk_manager.cpp
@@ -17,7 +17,7 @@
         case Reason::glare:
         case Reason::not_idle:
         case Reason::unusable:
-            return {Outcome::rejected, Cause::no_circuit};  // the set-up never reached the far hub
+            return {Outcome::rejected, Cause::no_circuit};  // the far hub was never offered the call
         case Reason::refused:
             return {Outcome::rejected, direct ? Cause::processor_full : Cause::rejected_by_tandem};
         case Reason::normal:
